--- a/crates/cometmoor-core/src/gateway/admission.rs
+++ b/crates/cometmoor-core/src/gateway/admission.rs
@@ -11,15 +11,15 @@
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
 /// When a client should come back that no server could take: models and servers
 /// take seconds to come. It is cut to what the client would wait.
-pub const COME_BACK: Duration = Duration::from_secs(10);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(10);
 /// Pause between two looks for a server that can take a waiting request.
-pub const WAIT_POLL: Duration = Duration::from_millis(20);
+pub const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Part of the time left within which a client still comes back.
 const COME_BACK_PART: u32 = 3;
 
 /// How long a request may wait in the node for a server: a little less than
 /// a quarter of its objective, and never a large part of what time is left.
-pub fn longest_wait(objective: Duration, time_left: Duration) -> Duration {
+pub fn max_queue_wait(objective: Duration, time_left: Duration) -> Duration {
     let prompt = objective / PROMPT_REFUSAL_PART;
     let wait = prompt.mul_f64(0.8).clamp(SHORTEST_WAIT, LONGEST_WAIT);
     wait.min(time_left / 2)
@@ -28,7 +28,7 @@
 /// Whether a request is worth sending to a server that would give the first
 /// byte after `expected`: not where it would come too late. What waits longer
 /// than its objective holds up others that could still be in time.
-pub fn is_worth_sending(expected: Duration, objective: Duration, time_left: Duration) -> bool {
+pub fn can_answer_in_time(expected: Duration, objective: Duration, time_left: Duration) -> bool {
     expected <= objective.min(time_left)
 }
 
@@ -40,13 +40,13 @@
 /// When a client should come back whose request would have waited `expected`:
 /// when enough of the queue is gone for it to be in time, and others do not
 /// fill it at once.
-pub fn come_back_after_queue(expected: Duration, objective: Duration) -> Duration {
+pub fn retry_after_queue(expected: Duration, objective: Duration) -> Duration {
     expected.saturating_sub(objective / 2).max(BUSY_FOR)
 }
 
 /// When a refused client should come back: at `ready_in`, but not later than
 /// it would still come.
-pub fn come_back_in(ready_in: Duration, time_left: Duration) -> Duration {
+pub fn cap_retry_after(ready_in: Duration, time_left: Duration) -> Duration {
     ready_in.min(time_left / COME_BACK_PART)
 }
 
--- a/crates/cometmoor-core/src/gateway/attempts.rs
+++ b/crates/cometmoor-core/src/gateway/attempts.rs
@@ -1,6 +1,6 @@
 //! How far a request has come, and whether it may be sent to another server.
 
-use super::configuration::Repeat;
+use super::configuration::RetryPolicy;
 
 /// How far a request has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -10,7 +10,7 @@
     /// A server may have run it.
     Sent,
     /// The client has a part of its answer.
-    Answering,
+    Responding,
 }
 
 impl Progress {
@@ -19,28 +19,28 @@
         match self {
             Progress::Waiting => "queue",
             Progress::Sent => "server",
-            Progress::Answering => "stream",
+            Progress::Responding => "stream",
         }
     }
 }
 
 /// Why a send did not bring a whole answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum SendFailure {
     /// The server said that it did not run the request.
     NotRun,
     /// The connection broke after the request was written.
-    Broken,
+    ConnectionLost,
     /// The server answered with a failure of its own.
     ServerError,
     /// The stream broke off after events went to the client.
-    StreamBroken,
+    StreamInterrupted,
 }
 
 /// The sends of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
-    repeat: Repeat,
+    retry_policy: RetryPolicy,
     most: u32,
     sends: u32,
     progress: Progress,
@@ -49,9 +49,9 @@
 
 impl Attempts {
     /// A request that was not sent yet, which may go to `most` servers.
-    pub fn new(repeat: Repeat, most: u32) -> Attempts {
+    pub fn new(retry_policy: RetryPolicy, most: u32) -> Attempts {
         let progress = Progress::Waiting;
-        Attempts { repeat, most, sends: 0, progress, before_send: progress }
+        Attempts { retry_policy, most, sends: 0, progress, before_send: progress }
     }
 
     /// How far the request has come.
@@ -72,34 +72,36 @@
     }
 
     /// Notes that no byte of it left.
-    pub fn note_not_sent(&mut self) {
+    pub fn record_not_sent(&mut self) {
         self.progress = self.before_send;
         self.sends -= 1;
     }
 
     /// Notes that the server said that it did not run it.
-    pub fn note_not_run(&mut self) {
+    pub fn record_not_run(&mut self) {
         self.progress = self.before_send;
     }
 
     /// Notes that a part of the answer goes to the client.
-    pub fn note_answering(&mut self) {
-        self.progress = Progress::Answering;
+    pub fn record_response_started(&mut self) {
+        self.progress = Progress::Responding;
     }
 
     /// Whether it may be sent to another server after the failure, as far as
     /// its route is concerned.
-    pub fn may_follow(&self, failure: Failure) -> bool {
+    pub fn can_retry(&self, failure: SendFailure) -> bool {
         let repeatable = match failure {
-            Failure::NotRun => true,
-            Failure::Broken | Failure::ServerError => self.repeat.may_run_again(),
-            Failure::StreamBroken => self.repeat == Repeat::ResumableStream,
+            SendFailure::NotRun => true,
+            SendFailure::ConnectionLost | SendFailure::ServerError => {
+                self.retry_policy.allows_rerun()
+            }
+            SendFailure::StreamInterrupted => self.retry_policy == RetryPolicy::ResumableStream,
         };
         repeatable && self.sends < self.most
     }
 
     /// Whether the client may be told that it has not run and will not.
-    pub fn may_say_not_run(&self) -> bool {
+    pub fn is_known_not_run(&self) -> bool {
         self.progress == Progress::Waiting
     }
 }
--- a/crates/cometmoor-core/src/gateway/configuration.rs
+++ b/crates/cometmoor-core/src/gateway/configuration.rs
@@ -9,7 +9,7 @@
 
 /// What may be done with a request whose first attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// It may run more than once.
     Idempotent,
     /// It may run at most once.
@@ -20,15 +20,15 @@
     ResumableStream,
 }
 
-impl Repeat {
+impl RetryPolicy {
     /// Whether the answer is a stream of events.
     pub fn is_stream(self) -> bool {
-        matches!(self, Repeat::Stream | Repeat::ResumableStream)
+        matches!(self, RetryPolicy::Stream | RetryPolicy::ResumableStream)
     }
 
     /// Whether a request that may have run can be sent again.
-    pub fn may_run_again(self) -> bool {
-        matches!(self, Repeat::Idempotent | Repeat::ResumableStream)
+    pub fn allows_rerun(self) -> bool {
+        matches!(self, RetryPolicy::Idempotent | RetryPolicy::ResumableStream)
     }
 }
 
@@ -51,15 +51,15 @@
     /// Prefix of the paths; the longest one that fits wins.
     pub path_prefix: String,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// Longest time for which a request is held.
     pub timeout: Duration,
     /// Time within which an answer (a stream's first event) is wanted.
     pub objective: Duration,
     /// Most servers that one request is sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Longest pause between two events that keeps a stream in time.
-    pub event_pause: Option<Duration>,
+    pub event_interval_limit: Option<Duration>,
     /// Rank, 0 is the most urgent.
     pub priority: u8,
     /// Whether its requests need no key.
@@ -102,11 +102,11 @@
     /// Size of an adapter, in megabytes.
     pub adapter_megabytes: f64,
     /// Time of a load from the weight store.
-    pub load: Duration,
+    pub store_load_time: Duration,
     /// Time of a load from the server's disk.
-    pub load_from_disk: Duration,
+    pub disk_load_time: Duration,
     /// Time of a load from the server's memory.
-    pub load_from_memory: Duration,
+    pub memory_load_time: Duration,
 }
 
 /// What the engines of a service are like.
@@ -125,11 +125,11 @@
     /// Loads a second that the weight store allows over all servers.
     pub loads_per_second: f64,
     /// Weight copies that a server keeps in host memory, in megabytes.
-    pub host_megabytes: f64,
+    pub host_cache_megabytes: f64,
     /// Weight copies that a server keeps on disk, in megabytes.
-    pub disk_megabytes: f64,
+    pub disk_cache_megabytes: f64,
     /// Whether servers copy the memory of a run to one another.
-    pub moves_runs: bool,
+    pub supports_run_migration: bool,
 }
 
 impl ModelProfile {
@@ -240,7 +240,7 @@
 
     /// Shortest of the pauses that keep the streams of a service's routes in
     /// time; none where no route tells one.
-    pub fn shortest_event_pause(&self, service: &str) -> Option<Duration> {
+    pub fn shortest_event_interval_limit(&self, service: &str) -> Option<Duration> {
         self.event_pauses.get(service).copied()
     }
 
@@ -253,7 +253,7 @@
 fn shortest_pauses(routes: &[Route]) -> HashMap<String, Duration> {
     let mut pauses: HashMap<String, Duration> = HashMap::new();
     for route in routes {
-        let Some(pause) = route.event_pause else { continue };
+        let Some(pause) = route.event_interval_limit else { continue };
         for target in &route.targets {
             let known = pauses.entry(target.service.clone()).or_insert(pause);
             *known = pause.min(*known);
@@ -264,11 +264,11 @@
 
 /// The configuration in force; its version only rises.
 #[derive(Clone, Debug, Default)]
-pub struct ConfigurationInForce {
+pub struct ActiveConfiguration {
     current: Option<Arc<GatewayConfiguration>>,
 }
 
-impl ConfigurationInForce {
+impl ActiveConfiguration {
     /// Takes a configuration if it is newer; tells whether it was taken.
     pub fn offer(&mut self, configuration: Arc<GatewayConfiguration>) -> bool {
         if configuration.version <= self.version() {
--- a/crates/cometmoor-core/src/gateway/orders.rs
+++ b/crates/cometmoor-core/src/gateway/orders.rs
@@ -106,9 +106,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Its count is not known, or an order is in doubt: ask it.
-    AskForReport,
+    RequestReport,
     /// Send an order again whose answer was lost.
-    Repeat {
+    Resend {
         /// The order.
         order: ServerOrder,
         /// The count that it expects.
@@ -127,15 +127,15 @@
     /// What to do next.
     pub fn next_step(&self, now: Timestamp) -> NextStep {
         if self.wants_report {
-            return NextStep::AskForReport;
+            return NextStep::RequestReport;
         }
         match (&self.open, self.count) {
-            (None, None) => NextStep::AskForReport,
+            (None, None) => NextStep::RequestReport,
             (None, Some(expected_count)) => NextStep::Idle { expected_count },
             (Some(open), _) => match open.due {
-                Some(due) if now >= due => NextStep::AskForReport,
+                Some(due) if now >= due => NextStep::RequestReport,
                 Some(_) => NextStep::Wait,
-                None => NextStep::Repeat {
+                None => NextStep::Resend {
                     order: open.order.clone(),
                     expected_count: open.expected_count,
                 },
@@ -178,7 +178,7 @@
 
     /// Notes that the order was refused, or that its answer was lost: only a
     /// report tells whether it, or an earlier copy of it, was taken.
-    pub fn record_unclear(&mut self) {
+    pub fn record_unknown_outcome(&mut self) {
         self.wants_report = true;
     }
 
--- a/crates/cometmoor-core/src/gateway/planner/inventory.rs
+++ b/crates/cometmoor-core/src/gateway/planner/inventory.rs
@@ -64,11 +64,11 @@
     pub(super) fn load_seconds(&self, profile: &EngineProfile, index: ModelIndex) -> f64 {
         let model = &profile.models[index];
         let load = if self.in_host_memory.contains(&index) {
-            model.load_from_memory
+            model.memory_load_time
         } else if self.on_disk.contains(&index) {
-            model.load_from_disk
+            model.disk_load_time
         } else {
-            model.load
+            model.store_load_time
         };
         load.as_secs_f64()
     }
--- a/crates/cometmoor-core/src/gateway/proof.rs
+++ b/crates/cometmoor-core/src/gateway/proof.rs
@@ -14,7 +14,7 @@
 
 use super::restored_registry::REWRITTEN_WITHIN;
 use super::store_position::StoreEra;
-use crate::keys::KeyKnowledge;
+use crate::keys::KeyFreshness;
 use crate::time::BootInstant;
 
 /// Part of the bound on revocation for which a proof admits keys. The rest covers a store
@@ -63,12 +63,12 @@
     }
 
     /// What a copy of this age is good for where keys are concerned.
-    pub fn key_knowledge(&self, age: Option<Duration>) -> KeyKnowledge {
+    pub fn key_knowledge(&self, age: Option<Duration>) -> KeyFreshness {
         let admits = match self.revoke {
             Some(bound) => age.is_some_and(|age| age < bound.mul_f64(ADMITS_FOR)),
             None => true,
         };
-        KeyKnowledge { admits, denies: self.tells_absence(age) }
+        KeyFreshness { admits, denies: self.tells_absence(age) }
     }
 
     /// Time left until the store is to be asked, whatever others tell; none where no key
--- a/crates/cometmoor-core/src/gateway/retry_budget.rs
+++ b/crates/cometmoor-core/src/gateway/retry_budget.rs
@@ -51,7 +51,7 @@
     }
 
     /// Takes one repeat, if the window allows it among `nodes` nodes.
-    pub fn try_repeat(&mut self, now: Timestamp, nodes: usize) -> bool {
+    pub fn try_retry(&mut self, now: Timestamp, nodes: usize) -> bool {
         self.forget(now);
         if self.repeats.len() as f64 + 1.0 > self.allowed(now, nodes) {
             return false;
--- a/crates/cometmoor-core/src/gateway/selection.rs
+++ b/crates/cometmoor-core/src/gateway/selection.rs
@@ -21,35 +21,35 @@
     /// Whether it stands in the node's zone.
     pub same_zone: bool,
     /// Whether the node has a connection to it that is not in use.
-    pub has_connection: bool,
+    pub has_idle_connection: bool,
     /// Failures in the recent past, as a share from 0 to 1.
     pub failure_share: f64,
     /// Rendezvous hash of the server and the leading parts of the prompt.
     pub affinity: u64,
     /// Time saved by parts of the prompt that the server is believed to keep, in
     /// milliseconds.
-    pub kept_millis: f64,
+    pub cached_millis: f64,
 }
 
 /// What a node knows of the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Demand {
+pub struct RequestProfile {
     /// Time to read the prompt, in milliseconds; 0 for a plain request.
-    pub reading_millis: f64,
+    pub prefill_millis: f64,
     /// Part of it for the leading parts that other requests share.
-    pub shared_millis: f64,
+    pub shared_prefix_millis: f64,
     /// Longest pause between two events that keeps the streams of the service
     /// in time, in milliseconds; none where that does not matter.
-    pub event_pause_millis: Option<f64>,
+    pub event_interval_limit_millis: Option<f64>,
     /// Work that other nodes may have sent to a server and that is not known here yet,
     /// in milliseconds: costs that differ by less do not tell servers apart.
-    pub unseen_millis: f64,
+    pub unreported_millis: f64,
 }
 
-impl Demand {
+impl RequestProfile {
     /// Time to read what the server is not believed to keep of the prompt.
     fn unread_millis(&self, candidate: &Candidate) -> f64 {
-        (self.reading_millis - candidate.kept_millis).max(0.0)
+        (self.prefill_millis - candidate.cached_millis).max(0.0)
     }
 }
 
@@ -69,10 +69,10 @@
     pub failing: f64,
     /// Added for each running stream and each millisecond of prompts beyond
     /// what its pauses bear.
-    pub per_disturbed_stream: f64,
+    pub per_delayed_stream: f64,
     /// Costs that differ by no more do not tell servers apart. An open connection lasts, and
     /// whoever has it by chance would get every request of a lightly loaded node.
-    pub indifference: f64,
+    pub tie_margin: f64,
 }
 
 /// Share of the longest pause that servers may spend on prompts; the rest is
@@ -88,8 +88,8 @@
         other_zone: 25.0,
         new_connection: 10.0,
         failing: 400.0,
-        per_disturbed_stream: 0.05,
-        indifference: 0.0,
+        per_delayed_stream: 0.05,
+        tie_margin: 0.0,
     };
     /// For plain services.
     pub const PLAIN: CostModel = CostModel {
@@ -98,24 +98,24 @@
         other_zone: 5.0,
         new_connection: 3.0,
         failing: 150.0,
-        per_disturbed_stream: 0.0,
-        indifference: 3.0,
+        per_delayed_stream: 0.0,
+        tie_margin: 3.0,
     };
 
     /// Milliseconds that are counted for the streams that run at a server and
     /// would pause for too long. A server reads prompts between the tokens of
     /// its streams, so prompts that wait for nearly the longest pause make all
     /// of them late at once: one live stream in ten, on a calm day.
-    pub fn interference(&self, candidate: &Candidate, demand: &Demand) -> f64 {
-        let Some(pause) = demand.event_pause_millis else { return 0.0 };
+    pub fn interference(&self, candidate: &Candidate, demand: &RequestProfile) -> f64 {
+        let Some(pause) = demand.event_interval_limit_millis else { return 0.0 };
         let reading = candidate.backlog_millis + demand.unread_millis(candidate);
         let excess = reading - pause * READING_SHARE_OF_PAUSE;
         let streams = candidate.in_flight.min(candidate.slots);
-        excess.max(0.0) * f64::from(streams) * self.per_disturbed_stream
+        excess.max(0.0) * f64::from(streams) * self.per_delayed_stream
     }
 
     /// Expected milliseconds until the first byte.
-    pub fn cost(&self, candidate: &Candidate, demand: &Demand) -> f64 {
+    pub fn cost(&self, candidate: &Candidate, demand: &RequestProfile) -> f64 {
         let waiting = candidate.in_flight.saturating_sub(candidate.slots);
         let mut cost = candidate.pending_millis + demand.unread_millis(candidate);
         cost += self.per_running * f64::from(candidate.in_flight);
@@ -123,7 +123,7 @@
         if !candidate.same_zone {
             cost += self.other_zone;
         }
-        if !candidate.has_connection {
+        if !candidate.has_idle_connection {
             cost += self.new_connection;
         }
         cost + self.failing * candidate.failure_share
@@ -138,7 +138,7 @@
     /// Expected milliseconds until the first byte.
     pub cost: f64,
     /// Whether streams that run there would pause for too long.
-    pub disturbs: bool,
+    pub delays_streams: bool,
 }
 
 /// The candidate with the least cost, interference with others included. The one
@@ -146,20 +146,24 @@
 /// not differ by more than what is not seen or does not matter, the one with the highest
 /// affinity wins: by it requests of many nodes spread, which would else all take the server that was
 /// told to be idle.
-pub fn select(candidates: &[Candidate], demand: &Demand, model: &CostModel) -> Option<Choice> {
+pub fn select(
+    candidates: &[Candidate],
+    demand: &RequestProfile,
+    model: &CostModel,
+) -> Option<Choice> {
     let favourite = (0..candidates.len()).max_by_key(|index| candidates[*index].affinity)?;
     let reckoned = candidates.iter().enumerate().map(|(index, known)| {
         let mut candidate = *known;
         if index == favourite {
-            candidate.kept_millis = candidate.kept_millis.max(demand.shared_millis);
+            candidate.cached_millis = candidate.cached_millis.max(demand.shared_prefix_millis);
         }
         let cost = model.cost(&candidate, demand);
         let interference = model.interference(&candidate, demand);
-        (cost + interference, Choice { index, cost, disturbs: interference > 0.0 })
+        (cost + interference, Choice { index, cost, delays_streams: interference > 0.0 })
     });
     let reckoned: Vec<(f64, Choice)> = reckoned.collect();
     let least = reckoned.iter().map(|(cost, _)| *cost).min_by(f64::total_cmp)?;
-    let indifference = model.indifference.max(demand.unseen_millis);
-    let alike = reckoned.into_iter().filter(|(cost, _)| *cost <= least + indifference);
+    let tie_margin = model.tie_margin.max(demand.unreported_millis);
+    let alike = reckoned.into_iter().filter(|(cost, _)| *cost <= least + tie_margin);
     alike.map(|(_, choice)| choice).max_by_key(|choice| candidates[choice.index].affinity)
 }
--- a/crates/cometmoor-core/src/gateway/tenants.rs
+++ b/crates/cometmoor-core/src/gateway/tenants.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::configuration::Route;
-use crate::keys::{KeyCheck, KeyDigest, KeyKnowledge, KeyRing, PresentedKey};
+use crate::keys::{KeyCheck, KeyDigest, KeyFreshness, KeyRing, PresentedKey};
 
 /// What a limit is counted in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -13,7 +13,7 @@
     /// Tokens of the prompt and of the longest answer together.
     Tokens {
         /// What a request counts that names no tokens.
-        unnamed: u64,
+        default_tokens: u64,
     },
 }
 
@@ -22,7 +22,7 @@
     pub fn cost(self, tokens: Option<u64>) -> u64 {
         match self {
             QuotaUnit::Requests => 1,
-            QuotaUnit::Tokens { unnamed } => tokens.unwrap_or(unnamed),
+            QuotaUnit::Tokens { default_tokens } => tokens.unwrap_or(default_tokens),
         }
     }
 }
@@ -79,7 +79,7 @@
     }
 
     /// Decides on a key.
-    fn check(&self, key: PresentedKey, knowledge: KeyKnowledge) -> KeyCheck<'_, Arc<Tenant>> {
+    fn check(&self, key: PresentedKey, knowledge: KeyFreshness) -> KeyCheck<'_, Arc<Tenant>> {
         self.keys.check(key, knowledge)
     }
 }
@@ -101,7 +101,7 @@
     tenants: Option<&Tenants>,
     route: &Route,
     key: PresentedKey,
-    knowledge: KeyKnowledge,
+    knowledge: KeyFreshness,
 ) -> Access {
     let Some(tenants) = tenants else { return Access::Granted(None) };
     match tenants.check(key, knowledge) {
--- a/crates/cometmoor-core/src/keys.rs
+++ b/crates/cometmoor-core/src/keys.rs
@@ -92,16 +92,16 @@
 
 /// What a node's copy of the keys is good for, by how lately it was shown to be the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeyKnowledge {
+pub struct KeyFreshness {
     /// A key in the copy may be admitted: it cannot have been taken away for long.
     pub admits: bool,
     /// A key that is not in the copy may be rejected: it cannot have been added for long.
     pub denies: bool,
 }
 
-impl KeyKnowledge {
+impl KeyFreshness {
     /// Of a copy that is the newest.
-    pub const CURRENT: KeyKnowledge = KeyKnowledge { admits: true, denies: true };
+    pub const CURRENT: KeyFreshness = KeyFreshness { admits: true, denies: true };
 }
 
 /// What a key is good for.
@@ -135,7 +135,7 @@
 
 impl<Holder> KeyRing<Holder> {
     /// Decides on a key.
-    pub fn check(&self, key: PresentedKey, knowledge: KeyKnowledge) -> KeyCheck<'_, Holder> {
+    pub fn check(&self, key: PresentedKey, knowledge: KeyFreshness) -> KeyCheck<'_, Holder> {
         let holder = match key {
             PresentedKey::Key(digest) => self.holders.get(&digest),
             PresentedKey::Missing | PresentedKey::Malformed => return KeyCheck::Unknown,
--- a/crates/cometmoor-core/src/routing.rs
+++ b/crates/cometmoor-core/src/routing.rs
@@ -142,12 +142,12 @@
 /// Takes the less loaded of two candidates drawn at random, so that nodes
 /// which all see the same old report do not all choose the same engine.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TwoChoices;
+pub struct PowerOfTwoChoices;
 
 /// Utilization that an engine in another zone must be better by.
 const ZONE_PENALTY: f64 = 0.05;
 
-impl Selector for TwoChoices {
+impl Selector for PowerOfTwoChoices {
     fn select(&self, candidates: &[CandidateLoad], random: &mut dyn RngCore) -> Option<usize> {
         let count = candidates.len();
         if count <= 1 {
--- a/crates/cometmoor-core/tests/admission.rs
+++ b/crates/cometmoor-core/tests/admission.rs
@@ -12,7 +12,7 @@
     Admission, AdmissionLimits, AdmissionRequest, Arrival, Decision, ShedReason, Slot, Ticket,
 };
 use cometmoor_core::catalog::{Resolved, base_artifact};
-use cometmoor_core::routing::{EngineRoute, RouteTable, TwoChoices};
+use cometmoor_core::routing::{EngineRoute, PowerOfTwoChoices, RouteTable};
 use cometmoor_core::time::Timestamp;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -70,7 +70,7 @@
 }
 
 struct World {
-    admission: Admission<TwoChoices>,
+    admission: Admission<PowerOfTwoChoices>,
     random: ChaCha8Rng,
     now: Timestamp,
     leaving: Option<u8>,
@@ -82,7 +82,7 @@
 impl World {
     fn new() -> World {
         let mut world = World {
-            admission: Admission::new(LIMITS, "z0", TwoChoices),
+            admission: Admission::new(LIMITS, "z0", PowerOfTwoChoices),
             random: ChaCha8Rng::seed_from_u64(1),
             now: Timestamp(1),
             leaving: None,
@@ -204,7 +204,7 @@
 #[test]
 fn dispatches_follow_the_entitlements() {
     let limits = AdmissionLimits { waiting_per_model: 1_000, waiting_per_group: 500, ..LIMITS };
-    let mut admission = Admission::new(limits, "z0", TwoChoices);
+    let mut admission = Admission::new(limits, "z0", PowerOfTwoChoices);
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut now = Timestamp(1);
     admission.update_routes(table(None, now), now, &mut random);
@@ -242,7 +242,7 @@
 #[test]
 fn a_full_queue_sheds_the_group_that_is_furthest_above_its_entitlement() {
     let limits = AdmissionLimits { waiting_per_group: 4, ..LIMITS };
-    let mut admission = Admission::new(limits, "z0", TwoChoices);
+    let mut admission = Admission::new(limits, "z0", PowerOfTwoChoices);
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let now = Timestamp(1);
     admission.update_routes(table(None, now), now, &mut random);
--- a/crates/cometmoor-core/tests/gateway_attempts.rs
+++ b/crates/cometmoor-core/tests/gateway_attempts.rs
@@ -4,8 +4,8 @@
 mod schedules;
 
 use bolero::TypeGenerator;
-use cometmoor_core::gateway::attempts::{Attempts, Failure, Progress};
-use cometmoor_core::gateway::configuration::Repeat;
+use cometmoor_core::gateway::attempts::{Attempts, Progress, SendFailure};
+use cometmoor_core::gateway::configuration::RetryPolicy;
 
 use schedules::for_each_schedule;
 
@@ -47,53 +47,53 @@
 }
 
 /// Sends the request as the gateway does, until it has an end.
-fn play(repeat: Repeat, schedule: &[Send]) -> Outcome {
-    let mut attempts = Attempts::new(repeat, MOST_SENDS);
+fn play(retry_policy: RetryPolicy, schedule: &[Send]) -> Outcome {
+    let mut attempts = Attempts::new(retry_policy, MOST_SENDS);
     let (mut runs, mut arrivals) = (0, 0);
     for send in schedule {
         attempts.begin_send();
         arrivals += u32::from(!matches!(send, Send::Unreachable));
         let failure = match send {
             Send::Unreachable => {
-                attempts.note_not_sent();
+                attempts.record_not_sent();
                 continue;
             }
             Send::Refused => {
-                attempts.note_not_run();
-                Failure::NotRun
+                attempts.record_not_run();
+                SendFailure::NotRun
             }
             Send::RunAndBroken => {
                 runs += 1;
-                Failure::Broken
+                SendFailure::ConnectionLost
             }
-            Send::Broken => Failure::Broken,
+            Send::Broken => SendFailure::ConnectionLost,
             Send::RunAndFailed => {
                 runs += 1;
-                Failure::ServerError
+                SendFailure::ServerError
             }
             Send::BrokenOff => {
                 runs += 1;
-                attempts.note_answering();
-                Failure::StreamBroken
+                attempts.record_response_started();
+                SendFailure::StreamInterrupted
             }
             Send::Answered => {
                 runs += 1;
                 return Outcome { told: Told::Answer, runs, arrivals };
             }
         };
-        if !attempts.may_follow(failure) {
+        if !attempts.can_retry(failure) {
             return Outcome { told: told(&attempts, failure), runs, arrivals };
         }
     }
-    let told = told(&attempts, Failure::NotRun);
+    let told = told(&attempts, SendFailure::NotRun);
     Outcome { told, runs, arrivals }
 }
 
-fn told(attempts: &Attempts, failure: Failure) -> Told {
+fn told(attempts: &Attempts, failure: SendFailure) -> Told {
     match (attempts.progress(), failure) {
-        (Progress::Answering, _) => Told::Cut,
-        (_, Failure::ServerError) => Told::Answer,
-        _ if attempts.may_say_not_run() => Told::NotRun,
+        (Progress::Responding, _) => Told::Cut,
+        (_, SendFailure::ServerError) => Told::Answer,
+        _ if attempts.is_known_not_run() => Told::NotRun,
         _ => Told::Unknown,
     }
 }
@@ -101,9 +101,14 @@
 #[test]
 fn one_run_at_most_and_not_run_is_true() {
     for_each_schedule::<Send>(CASES, |schedule| {
-        for repeat in [Repeat::Once, Repeat::Stream, Repeat::Idempotent, Repeat::ResumableStream] {
+        for repeat in [
+            RetryPolicy::Once,
+            RetryPolicy::Stream,
+            RetryPolicy::Idempotent,
+            RetryPolicy::ResumableStream,
+        ] {
             let outcome = play(repeat, schedule);
-            if matches!(repeat, Repeat::Once | Repeat::Stream) {
+            if matches!(repeat, RetryPolicy::Once | RetryPolicy::Stream) {
                 assert!(outcome.runs <= 1, "{repeat:?} ran {} times", outcome.runs);
             }
             if outcome.told == Told::NotRun {
--- a/crates/cometmoor-core/tests/gateway_configuration.rs
+++ b/crates/cometmoor-core/tests/gateway_configuration.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use bolero::TypeGenerator;
-use cometmoor_core::gateway::configuration::{ConfigurationInForce, GatewayConfiguration};
+use cometmoor_core::gateway::configuration::{ActiveConfiguration, GatewayConfiguration};
 
 use schedules::for_each_schedule;
 
@@ -23,7 +23,7 @@
 #[test]
 fn versions_only_rise_within_one_life() {
     for_each_schedule::<Step>(CASES, |steps| {
-        let mut in_force = ConfigurationInForce::default();
+        let mut in_force = ActiveConfiguration::default();
         let mut newest = 0;
         for step in steps {
             match step {
@@ -36,7 +36,7 @@
                     newest = newest.max(version);
                 }
                 Step::Restart => {
-                    in_force = ConfigurationInForce::default();
+                    in_force = ActiveConfiguration::default();
                     newest = 0;
                 }
             }
--- a/crates/cometmoor-core/tests/gateway_limits.rs
+++ b/crates/cometmoor-core/tests/gateway_limits.rs
@@ -5,23 +5,23 @@
 use std::time::Duration;
 
 use cometmoor_core::gateway::admission::{
-    come_back_after_queue, come_back_in, finishes_before_stop, is_worth_sending, longest_wait,
+    can_answer_in_time, cap_retry_after, finishes_before_stop, max_queue_wait, retry_after_queue,
 };
 use cometmoor_core::gateway::configuration::{
-    ClientLimits, ConfigurationInForce, GatewayConfiguration, Repeat, Route, Target,
+    ActiveConfiguration, ClientLimits, GatewayConfiguration, RetryPolicy, Route, Target,
 };
-use cometmoor_core::gateway::load_rate::LoadRate;
-use cometmoor_core::gateway::selection::{Candidate, CostModel, Demand, select};
+use cometmoor_core::gateway::load_rate::LoadRateLimiter;
+use cometmoor_core::gateway::selection::{Candidate, CostModel, RequestProfile, select};
 use cometmoor_core::time::Timestamp;
 
 const WINDOW: Duration = Duration::from_secs(5);
 
 #[test]
 fn loads_in_any_window_stay_below_the_rate() {
-    let mut rate = LoadRate::new(1.4, WINDOW, Timestamp(0), true);
+    let mut rate = LoadRateLimiter::new(1.4, WINDOW, Timestamp(0), true);
     let mut begun: Vec<u64> = Vec::new();
     for now in (0..30_000).step_by(50) {
-        while rate.left(Timestamp(now)) > 0 {
+        while rate.available(Timestamp(now)) > 0 {
             rate.record(Timestamp(now));
             begun.push(now);
         }
@@ -35,9 +35,9 @@
 
 #[test]
 fn a_new_leader_reckons_with_the_loads_of_the_one_before() {
-    let mut rate = LoadRate::new(1.4, WINDOW, Timestamp(1_000), false);
-    assert_eq!(rate.left(Timestamp(5_900)), 0);
-    assert_eq!(rate.left(Timestamp(6_000)), 7);
+    let mut rate = LoadRateLimiter::new(1.4, WINDOW, Timestamp(1_000), false);
+    assert_eq!(rate.available(Timestamp(5_900)), 0);
+    assert_eq!(rate.available(Timestamp(6_000)), 7);
 }
 
 /// tnpto-ride trouble-2 --seed 478904786106: a stream taken 3.7 s after the
@@ -71,15 +71,15 @@
 fn a_request_that_would_be_late_is_refused_with_a_time_that_it_will_wait_for() {
     let objective = Duration::from_millis(800);
     let left = Duration::from_millis(4500);
-    assert!(is_worth_sending(Duration::from_millis(790), objective, left));
-    assert!(!is_worth_sending(Duration::from_millis(810), objective, left));
-    assert!(!is_worth_sending(Duration::from_millis(500), objective, Duration::from_millis(400)));
-    let after = come_back_after_queue(Duration::from_millis(6500), objective);
+    assert!(can_answer_in_time(Duration::from_millis(790), objective, left));
+    assert!(!can_answer_in_time(Duration::from_millis(810), objective, left));
+    assert!(!can_answer_in_time(Duration::from_millis(500), objective, Duration::from_millis(400)));
+    let after = retry_after_queue(Duration::from_millis(6500), objective);
     assert_eq!(after, Duration::from_millis(6100));
-    let after = come_back_after_queue(Duration::from_millis(1500), objective);
+    let after = retry_after_queue(Duration::from_millis(1500), objective);
     assert_eq!(after, Duration::from_secs(4), "others fill a short queue at once");
-    assert_eq!(come_back_in(Duration::from_secs(9), left), left / 3);
-    assert!(longest_wait(objective, left) < objective / 4);
+    assert_eq!(cap_retry_after(Duration::from_secs(9), left), left / 3);
+    assert!(max_queue_wait(objective, left) < objective / 4);
 }
 
 fn candidate() -> Candidate {
@@ -88,11 +88,11 @@
 
 #[test]
 fn the_server_with_the_least_expected_time_gets_the_request() {
-    let demand = Demand {
-        reading_millis: 120.0,
-        shared_millis: 30.0,
-        event_pause_millis: None,
-        unseen_millis: 0.0,
+    let demand = RequestProfile {
+        prefill_millis: 120.0,
+        shared_prefix_millis: 30.0,
+        event_interval_limit_millis: None,
+        unreported_millis: 0.0,
     };
     let busy = Candidate { pending_millis: 400.0, in_flight: 9, affinity: 9, ..candidate() };
     let favourite = Candidate { affinity: 5, ..candidate() };
@@ -112,11 +112,11 @@
 /// where there is none.
 #[test]
 fn prompts_keep_away_from_streams_that_would_pause_too_long() {
-    let demand = Demand {
-        reading_millis: 150.0,
-        shared_millis: 0.0,
-        event_pause_millis: Some(250.0),
-        unseen_millis: 0.0,
+    let demand = RequestProfile {
+        prefill_millis: 150.0,
+        shared_prefix_millis: 0.0,
+        event_interval_limit_millis: Some(250.0),
+        unreported_millis: 0.0,
     };
     let busy = |in_flight| Candidate {
         in_flight,
@@ -127,14 +127,14 @@
     };
     let other = Candidate { pending_millis: 60.0, ..candidate() };
     let choice = select(&[busy(40), other], &demand, &CostModel::ENGINE).unwrap();
-    assert_eq!((choice.index, choice.disturbs), (1, false));
+    assert_eq!((choice.index, choice.delays_streams), (1, false));
     let alone = select(&[busy(40)], &demand, &CostModel::ENGINE).unwrap();
-    assert!(alone.disturbs);
+    assert!(alone.delays_streams);
     assert!(alone.cost < 250.0, "the time to the first event does not count it");
-    let short = Demand { reading_millis: 40.0, ..demand };
-    assert!(!select(&[busy(40)], &short, &CostModel::ENGINE).unwrap().disturbs);
-    let no_streams = Demand { event_pause_millis: None, ..demand };
-    assert!(!select(&[busy(40)], &no_streams, &CostModel::ENGINE).unwrap().disturbs);
+    let short = RequestProfile { prefill_millis: 40.0, ..demand };
+    assert!(!select(&[busy(40)], &short, &CostModel::ENGINE).unwrap().delays_streams);
+    let no_streams = RequestProfile { event_interval_limit_millis: None, ..demand };
+    assert!(!select(&[busy(40)], &no_streams, &CostModel::ENGINE).unwrap().delays_streams);
 }
 
 #[test]
@@ -143,11 +143,11 @@
         name: prefix.to_owned(),
         host: "desk.example".to_owned(),
         path_prefix: prefix.to_owned(),
-        repeat: Repeat::Once,
+        retry_policy: RetryPolicy::Once,
         timeout: Duration::from_secs(1),
         objective: Duration::from_secs(1),
-        attempts: 1,
-        event_pause: None,
+        max_attempts: 1,
+        event_interval_limit: None,
         priority: 0,
         is_public: false,
         targets: vec![Target { service: service.to_owned(), weight: 1 }],
@@ -162,7 +162,7 @@
     assert_eq!(service("/a/b/c"), Some("long"));
     assert_eq!(service("/a/c"), Some("short"));
     assert_eq!(service("/b/"), None);
-    let mut in_force = ConfigurationInForce::default();
+    let mut in_force = ActiveConfiguration::default();
     let offered = [4, 2, 4, 9, 3].map(|version| in_force.offer(configuration(version)));
     assert_eq!(offered, [true, false, false, true, false]);
     assert_eq!(in_force.version(), 9);
@@ -172,14 +172,14 @@
 #[test]
 fn an_open_connection_does_not_decide_among_equal_plain_servers() {
     let connected = Candidate { slots: 6, same_zone: true, ..Candidate::default() };
-    let connected = Candidate { has_connection: true, ..connected };
-    let unconnected = Candidate { has_connection: false, ..connected };
+    let connected = Candidate { has_idle_connection: true, ..connected };
+    let unconnected = Candidate { has_idle_connection: false, ..connected };
     let chosen = |affinity: [u64; 2], in_flight: [u32; 2]| {
         let candidates = [
             Candidate { affinity: affinity[0], in_flight: in_flight[0], ..connected },
             Candidate { affinity: affinity[1], in_flight: in_flight[1], ..unconnected },
         ];
-        select(&candidates, &Demand::default(), &CostModel::PLAIN).unwrap().index
+        select(&candidates, &RequestProfile::default(), &CostModel::PLAIN).unwrap().index
     };
     assert_eq!(chosen([1, 2], [0, 0]), 1);
     assert_eq!(chosen([2, 1], [0, 0]), 0);
--- a/crates/cometmoor-core/tests/gateway_orders.rs
+++ b/crates/cometmoor-core/tests/gateway_orders.rs
@@ -90,16 +90,16 @@
                 if self.server.take(&order, expected_count) {
                     self.ledger.record_accepted(self.now());
                 } else {
-                    self.ledger.record_unclear();
+                    self.ledger.record_unknown_outcome();
                 }
             }
             2 => {
                 self.server.take(&order, expected_count);
-                self.ledger.record_unclear();
+                self.ledger.record_unknown_outcome();
             }
             _ => {
                 self.on_the_way.push((order, expected_count));
-                self.ledger.record_unclear();
+                self.ledger.record_unknown_outcome();
             }
         }
     }
@@ -124,10 +124,10 @@
             Step::Load { model, fate } => self.order(Action::Load, model, fate),
             Step::Unload { model, fate } => self.order(Action::Unload, model, fate),
             Step::Continue { fate } => match self.ledger.next_step(self.now()) {
-                NextStep::AskForReport => {
+                NextStep::RequestReport => {
                     self.ledger.record_report(self.server.report(), self.now());
                 }
-                NextStep::Repeat { order, expected_count } => {
+                NextStep::Resend { order, expected_count } => {
                     self.send(order, expected_count, fate);
                 }
                 NextStep::Wait | NextStep::Idle { .. } => {}
@@ -165,7 +165,7 @@
     world.run(Step::Continue { fate: 0 });
     let order = ServerOrder { action: Action::Load, weights: Weights::model("m1") };
     let step = world.ledger.next_step(world.now());
-    assert_eq!(step, NextStep::Repeat { order, expected_count: 0 });
+    assert_eq!(step, NextStep::Resend { order, expected_count: 0 });
     assert!(world.ledger.reserved().contains(&Weights::model("m1")), "memory is kept for it");
     world.run(Step::Continue { fate: 0 });
     world.run(Step::Late { index: 0 });
--- a/crates/cometmoor-core/tests/gateway_planner.rs
+++ b/crates/cometmoor-core/tests/gateway_planner.rs
@@ -25,9 +25,9 @@
         weights_megabytes: MODEL_MEGABYTES,
         adapters: if index == 0 { 3 } else { 0 },
         adapter_megabytes: 1.0,
-        load: Duration::from_secs(9),
-        load_from_disk: Duration::from_secs(2),
-        load_from_memory: Duration::from_secs(1),
+        store_load_time: Duration::from_secs(9),
+        disk_load_time: Duration::from_secs(2),
+        memory_load_time: Duration::from_secs(1),
     };
     EngineProfile {
         models: (0..MODELS).map(model).collect(),
@@ -36,9 +36,9 @@
         batch_slots: 64,
         cache_tokens: 100_000,
         loads_per_second: 1.0,
-        host_megabytes: 100.0,
-        disk_megabytes: 400.0,
-        moves_runs: false,
+        host_cache_megabytes: 100.0,
+        disk_cache_megabytes: 400.0,
+        supports_run_migration: false,
     }
 }
 
--- a/crates/cometmoor-core/tests/gateway_retry_budget.rs
+++ b/crates/cometmoor-core/tests/gateway_retry_budget.rs
@@ -61,7 +61,7 @@
             }
             Step::Repeats { node: index, count } => {
                 for _ in 0..count % 64 {
-                    if self.budgets[node(index)].try_repeat(now, NODES) {
+                    if self.budgets[node(index)].try_retry(now, NODES) {
                         self.repeats.push(self.now);
                     }
                 }
@@ -105,11 +105,11 @@
 fn a_process_that_does_not_know_what_was_spent_uses_its_own_requests_only() {
     let started = Timestamp(5_000);
     let mut budget = FleetRetryBudget::new(BOUNDS, started, false);
-    assert!(!budget.try_repeat(started, 1));
+    assert!(!budget.try_retry(started, 1));
     for _ in 0..10 {
         budget.record_request(started);
     }
-    assert!(budget.try_repeat(started, 1));
-    assert!(!budget.try_repeat(started, 1));
-    assert!(budget.try_repeat(started + BOUNDS.window, 1));
+    assert!(budget.try_retry(started, 1));
+    assert!(!budget.try_retry(started, 1));
+    assert!(budget.try_retry(started + BOUNDS.window, 1));
 }
--- a/crates/cometmoor-core/tests/keys.rs
+++ b/crates/cometmoor-core/tests/keys.rs
@@ -1,7 +1,7 @@
 //! Keys of callers: which forms are keys at all, and what is decided on each by how new
 //! the copy of the keys is.
 
-use cometmoor_core::keys::{KeyCheck, KeyDigest, KeyKnowledge, KeyRing, PresentedKey};
+use cometmoor_core::keys::{KeyCheck, KeyDigest, KeyFreshness, KeyRing, PresentedKey};
 
 fn presented(values: &[&[u8]]) -> PresentedKey {
     PresentedKey::from_values(values.iter().copied())
@@ -54,9 +54,9 @@
 fn a_copy_decides_only_on_what_it_can_know() {
     let ring: KeyRing<&str> = [(KeyDigest::of(b"known"), "linen")].into_iter().collect();
     let (known, unknown) = (presented(&[b"known"]), presented(&[b"unknown"]));
-    let of = |admits, denies| KeyKnowledge { admits, denies };
-    assert_eq!(ring.check(known, KeyKnowledge::CURRENT), KeyCheck::Admitted(&"linen"));
-    assert_eq!(ring.check(unknown, KeyKnowledge::CURRENT), KeyCheck::Unknown);
+    let of = |admits, denies| KeyFreshness { admits, denies };
+    assert_eq!(ring.check(known, KeyFreshness::CURRENT), KeyCheck::Admitted(&"linen"));
+    assert_eq!(ring.check(unknown, KeyFreshness::CURRENT), KeyCheck::Unknown);
     assert_eq!(ring.check(known, of(true, false)), KeyCheck::Admitted(&"linen"));
     assert_eq!(ring.check(unknown, of(true, false)), KeyCheck::Undecided);
     assert_eq!(ring.check(known, of(false, false)), KeyCheck::Undecided);
--- a/crates/cometmoor-core/tests/old_word.rs
+++ b/crates/cometmoor-core/tests/stale_load.rs
@@ -1,6 +1,6 @@
 //! Many nodes choose among the same servers by load that they are told late.
 
-use cometmoor_core::gateway::selection::{Candidate, CostModel, Demand, select};
+use cometmoor_core::gateway::selection::{Candidate, CostModel, RequestProfile, select};
 
 /// Servers that hold a busy model.
 const SERVERS: usize = 8;
@@ -23,9 +23,10 @@
 
 /// Share of the requests that make a server's prompts wait for too long, where nodes are
 /// told the load each `age` milliseconds, and take costs that differ by less than
-/// `unseen_millis` for alike.
-fn late_share(age: f64, unseen_millis: f64) -> f64 {
-    let demand = Demand { reading_millis: READING, unseen_millis, ..Demand::default() };
+/// `unreported_millis` for alike.
+fn late_share(age: f64, unreported_millis: f64) -> f64 {
+    let demand =
+        RequestProfile { prefill_millis: READING, unreported_millis, ..RequestProfile::default() };
     let mut random = 11;
     // When each server has read all that it was sent, and the same as nodes are told.
     let mut free_at = [0.0_f64; SERVERS];
--- a/crates/cometmoor-gateway/src/control/fleet/mod.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use actix::{Actor, AsyncContext, Context};
-use cometmoor_core::gateway::configuration::ConfigurationInForce;
+use cometmoor_core::gateway::configuration::ActiveConfiguration;
 use cometmoor_core::gateway::proof::{ProofLimits, ProofRequests};
 use cometmoor_core::gateway::registry::{ServerEntry, ServerRecord, ServerState};
 use cometmoor_core::gateway::restored_registry::Servers;
@@ -63,7 +63,7 @@
     started: BootInstant,
     phase: Phase,
     copies: HashMap<Subject, Copy>,
-    configuration: ConfigurationInForce,
+    configuration: ActiveConfiguration,
     /// Whether the newest configuration that the store is known to hold can be read.
     is_readable: bool,
     /// The newest version, while the store has lost it.
@@ -107,7 +107,7 @@
             started: clock::now(),
             phase: Phase::Starting,
             copies: HashMap::from_iter(Subject::ALL.map(|subject| (subject, Copy::default()))),
-            configuration: ConfigurationInForce::default(),
+            configuration: ActiveConfiguration::default(),
             is_readable: true,
             lost_version: None,
             entries: ServerEntries::new(heartbeat),
--- a/crates/cometmoor-gateway/src/control/heartbeat.rs
+++ b/crates/cometmoor-gateway/src/control/heartbeat.rs
@@ -22,7 +22,7 @@
 /// The same in a large fleet, whose hubs repeat what they hear: what nodes know of one
 /// another's load is three of these pauses old at the most. With word that is 0.3 s old
 /// half as many prompts pile up at busy servers as with 0.6 s
-/// (`core/tests/old_word.rs`); at 300 nodes a hub sends a sixth of what a link of
+/// (`core/tests/stale_load.rs`); at 300 nodes a hub sends a sixth of what a link of
 /// 20 Mbit/s carries.
 const INTERVAL: Duration = Duration::from_millis(200);
 /// The same for each node beyond 400: a hub's bytes grow with the hubs.
--- a/crates/cometmoor-gateway/src/control/leader/calls.rs
+++ b/crates/cometmoor-gateway/src/control/leader/calls.rs
@@ -190,7 +190,7 @@
             }
             Ok(OrderAnswer::OtherServer) => engine.replaced = true,
             Ok(OrderAnswer::Conflict | OrderAnswer::Fenced | OrderAnswer::Refused(_)) | Err(_) => {
-                engine.ledger.record_unclear();
+                engine.ledger.record_unknown_outcome();
             }
         }
     }
--- a/crates/cometmoor-gateway/src/control/leader/mod.rs
+++ b/crates/cometmoor-gateway/src/control/leader/mod.rs
@@ -14,7 +14,7 @@
 use actix::Addr;
 use cometmoor_core::gateway::configuration::{EngineProfile, GatewayConfiguration};
 use cometmoor_core::gateway::leadership::{Leadership, LeadershipTimes, OwnKnowledge, Predecessor};
-use cometmoor_core::gateway::load_rate::LoadRate;
+use cometmoor_core::gateway::load_rate::LoadRateLimiter;
 use cometmoor_core::gateway::orders::{Action, NextStep, Weights};
 use cometmoor_core::gateway::planner::{
     DEMAND_KNOWN, FleetDemand, ModelDemand, PlannedOrder, PlannedServer, ROUND, WITHDRAWAL, plan,
@@ -59,7 +59,7 @@
     engines: HashMap<Arc<str>, Engine>,
     withdrawals: Vec<Withdrawal>,
     announcements: Announcements,
-    load_rates: HashMap<String, LoadRate>,
+    load_rates: HashMap<String, LoadRateLimiter>,
     first_round: Option<Timestamp>,
     last_new_server: Option<Timestamp>,
 }
@@ -271,8 +271,8 @@
         for (id, step, asked) in steps {
             let rested = asked.is_none_or(|asked| now.since(asked) >= REPORT_PAUSE);
             match step {
-                NextStep::AskForReport if rested => self.spawn_report(id),
-                NextStep::Repeat { order, expected_count } if rested => {
+                NextStep::RequestReport if rested => self.spawn_report(id),
+                NextStep::Resend { order, expected_count } if rested => {
                     if let Some(token) = token {
                         self.repeat_order(id, order, expected_count, token);
                     }
@@ -377,11 +377,10 @@
         // What was ordered in earlier terms was ordered before this one began.
         let acquired = state.acquired;
         let first = self.predecessor.get() == Predecessor::Nobody;
-        let rate = state
-            .load_rates
-            .entry(service.to_owned())
-            .or_insert_with(|| LoadRate::new(profile.loads_per_second, window, acquired, first));
-        rate.left(now)
+        let rate = state.load_rates.entry(service.to_owned()).or_insert_with(|| {
+            LoadRateLimiter::new(profile.loads_per_second, window, acquired, first)
+        });
+        rate.available(now)
     }
 
     async fn demand(&self, profile: &EngineProfile) -> Option<FleetDemand> {
--- a/crates/cometmoor-gateway/src/forward/migration.rs
+++ b/crates/cometmoor-gateway/src/forward/migration.rs
@@ -142,7 +142,7 @@
         let service = source.record().service.clone();
         let configuration = fleet.configuration.as_ref()?;
         let profile = configuration.services.get(&service)?.engine.as_ref()?;
-        if !profile.moves_runs {
+        if !profile.supports_run_migration {
             return None;
         }
         let placement = self.traffic.board.placement.load();
--- a/crates/cometmoor-gateway/src/forward/mod.rs
+++ b/crates/cometmoor-gateway/src/forward/mod.rs
@@ -22,8 +22,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cometmoor_core::gateway::admission::{COME_BACK, come_back_after_queue, come_back_in};
-use cometmoor_core::gateway::attempts::{Attempts, Failure, Progress};
+use cometmoor_core::gateway::admission::{DEFAULT_RETRY_AFTER, cap_retry_after, retry_after_queue};
+use cometmoor_core::gateway::attempts::{Attempts, Progress, SendFailure};
 use cometmoor_core::gateway::configuration::Route;
 use cometmoor_core::gateway::quarantine::{Fingerprint, Standing};
 use cometmoor_core::gateway::tenants::Tenant;
@@ -112,7 +112,7 @@
         received: BootInstant,
     ) -> Forward<'a> {
         let Admitted { route, tenant } = admitted;
-        let attempts = Cell::new(Attempts::new(route.repeat, route.attempts));
+        let attempts = Cell::new(Attempts::new(route.retry_policy, route.max_attempts));
         Forward {
             traffic,
             client,
@@ -167,9 +167,9 @@
             self.ended("unknown", progress.step(), "out of time");
         }
         match progress {
-            Progress::Waiting => self.refuse(Refusal::OutOfTime, COME_BACK).await,
+            Progress::Waiting => self.refuse(Refusal::OutOfTime, DEFAULT_RETRY_AFTER).await,
             Progress::Sent => self.answer(OwnAnswer::timeout()).await,
-            Progress::Answering => Finish::Cut,
+            Progress::Responding => Finish::Cut,
         }
     }
 
@@ -202,7 +202,7 @@
             let server = match self.wait_for_server(service, &tried, &stream).await {
                 Found::Server { server, .. } => server,
                 Found::TooBusy(expected) => {
-                    let after = come_back_after_queue(expected, self.route.objective);
+                    let after = retry_after_queue(expected, self.route.objective);
                     return self.no_server(kept_error, &stream, Refusal::TooBusy, after).await;
                 }
                 Found::Held { come_back, .. } => {
@@ -210,7 +210,7 @@
                     return self.no_server(kept_error, &stream, refusal, come_back).await;
                 }
                 Found::Nobody(refusal) => {
-                    return self.no_server(kept_error, &stream, refusal, COME_BACK).await;
+                    return self.no_server(kept_error, &stream, refusal, DEFAULT_RETRY_AFTER).await;
                 }
             };
             let record = server.record();
@@ -232,7 +232,9 @@
                     unreachable += 1;
                     if unreachable >= MAX_UNREACHABLE {
                         let refusal = Refusal::NoServer;
-                        return self.no_server(kept_error, &stream, refusal, COME_BACK).await;
+                        return self
+                            .no_server(kept_error, &stream, refusal, DEFAULT_RETRY_AFTER)
+                            .await;
                     }
                     continue;
                 }
@@ -243,7 +245,7 @@
                     let id = &*record.incarnation;
                     let request = &*self.facts.id;
                     info!("[forward] the server did not run it", kv: { request, server = id, status, misdirected });
-                    if !self.may_send_again(service, &server, Failure::NotRun).await {
+                    if !self.may_send_again(service, &server, SendFailure::NotRun).await {
                         let refusal = Refusal::ServerRefused;
                         let come_back = self.come_back_after(service, &server, &tried, &stream);
                         return self.no_server(kept_error, &stream, refusal, come_back).await;
@@ -251,13 +253,13 @@
                 }
                 Sent::Failed(error) => {
                     self.log_failure("failed", "server", &record.incarnation, &error.to_string());
-                    if !self.may_send_again(service, &server, Failure::Broken).await {
+                    if !self.may_send_again(service, &server, SendFailure::ConnectionLost).await {
                         self.ended("unknown", "server", "broken after the send");
                         return self.answer(OwnAnswer::bad_gateway()).await;
                     }
                 }
                 Sent::ServerError(received, body) => {
-                    if !self.may_send_again(service, &server, Failure::ServerError).await {
+                    if !self.may_send_again(service, &server, SendFailure::ServerError).await {
                         return self.pass_whole(*received, body).await;
                     }
                     kept_error = Some((received, body));
@@ -280,20 +282,20 @@
         stream: &StreamState,
     ) -> Duration {
         if self.traffic.signals.hold(server.hash(), clock::now()).is_none() {
-            return COME_BACK;
+            return DEFAULT_RETRY_AFTER;
         }
         match self.pick(service, tried, stream) {
             Found::Server { .. } => COME_BACK_ELSEWHERE,
             Found::Held { come_back, .. } => come_back,
-            Found::TooBusy(expected) => come_back_after_queue(expected, self.route.objective),
-            Found::Nobody(_) => COME_BACK,
+            Found::TooBusy(expected) => retry_after_queue(expected, self.route.objective),
+            Found::Nobody(_) => DEFAULT_RETRY_AFTER,
         }
     }
 
     /// Whether a stream of which the client has a part may go on as another run.
     async fn may_follow_broken_stream(&self, service: &str, server: &Server) -> bool {
         self.log_failure("broken", "stream", &server.record().incarnation, "the stream broke off");
-        let follows = self.may_send_again(service, server, Failure::StreamBroken).await;
+        let follows = self.may_send_again(service, server, SendFailure::StreamInterrupted).await;
         if !follows {
             self.ended("cut", "stream", "the stream broke off");
         }
@@ -301,11 +303,11 @@
     }
 
     /// Whether the request may go to another server after a failure at this one.
-    async fn may_send_again(&self, service: &str, server: &Server, failure: Failure) -> bool {
-        if !self.attempts.get().may_follow(failure) {
+    async fn may_send_again(&self, service: &str, server: &Server, failure: SendFailure) -> bool {
+        if !self.attempts.get().can_retry(failure) {
             return false;
         }
-        if matches!(failure, Failure::Broken | Failure::StreamBroken) {
+        if matches!(failure, SendFailure::ConnectionLost | SendFailure::StreamInterrupted) {
             self.wait_for_liveness(server).await;
         }
         let is_quarantined = self.traffic.quarantine.is_quarantined(self.content);
@@ -337,14 +339,14 @@
         if let Some((received, body)) = kept_error {
             return self.pass_whole(*received, body).await;
         }
-        match self.attempts.get().may_say_not_run() {
+        match self.attempts.get().is_known_not_run() {
             true => self.refuse(refusal, come_back).await,
             false => self.answer(OwnAnswer::bad_gateway()).await,
         }
     }
 
     async fn pass_whole(&self, received: Received, body: Vec<u8>) -> Finish {
-        self.note(Attempts::note_answering);
+        self.note(Attempts::record_response_started);
         let keep = self.keeps_connection();
         let bytes = encode::whole_answer(&received.head, &body, self.head.method == "HEAD", keep);
         self.write(&bytes, keep).await
@@ -363,7 +365,7 @@
         let after = match refusal {
             // Earlier, it would be refused again.
             Refusal::Quarantined => come_back,
-            _ => come_back_in(come_back, self.client_time_left()),
+            _ => cap_retry_after(come_back, self.client_time_left()),
         };
         self.log_refused(refusal, after);
         let outcome = if refusal == Refusal::OverLimit { "over_limit" } else { "refused" };
--- a/crates/cometmoor-gateway/src/forward/pick.rs
+++ b/crates/cometmoor-gateway/src/forward/pick.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cometmoor_core::gateway::admission::{WAIT_POLL, is_worth_sending, longest_wait};
-use cometmoor_core::gateway::selection::{Candidate, CostModel, Demand, select};
+use cometmoor_core::gateway::admission::{QUEUE_POLL_INTERVAL, can_answer_in_time, max_queue_wait};
+use cometmoor_core::gateway::selection::{Candidate, CostModel, RequestProfile, select};
 use cometmoor_core::time::BootInstant;
 use xxhash_rust::xxh3::Xxh3;
 
@@ -21,7 +21,7 @@
 /// Work that other nodes may have sent to a server before this node hears of it, in a
 /// large fleet: half a prompt. Eight servers that read prompts for three quarters of their
 /// time, told of 0.3 s late: 2.0% of the prompts wait for too long instead of 3.8%, and
-/// 2.1% with a whole prompt (`core/tests/old_word.rs`).
+/// 2.1% with a whole prompt (`core/tests/stale_load.rs`).
 const UNSEEN_MILLIS: f64 = 60.0;
 
 /// What decided on a server, for log lines.
@@ -72,7 +72,7 @@
         let asked = clock::now();
         let mechanisms = self.traffic.settings.mechanisms;
         let longest = match mechanisms.wait_for_server {
-            true => longest_wait(self.route.objective, self.time_left()),
+            true => max_queue_wait(self.route.objective, self.time_left()),
             false => Duration::ZERO,
         };
         let until = asked + longest;
@@ -92,7 +92,7 @@
                 self.traffic.metrics.observe(&self.traffic.metrics.queue, clock::elapsed(asked));
                 return found;
             }
-            clock::sleep(WAIT_POLL).await;
+            clock::sleep(QUEUE_POLL_INTERVAL).await;
         }
     }
 
@@ -134,7 +134,8 @@
         let candidates: Vec<Candidate> =
             servers.iter().map(|server| self.candidate(server, now)).collect();
         let configuration = fleet.configuration.as_ref();
-        let event_pause = configuration.and_then(|known| known.shortest_event_pause(service));
+        let event_pause =
+            configuration.and_then(|known| known.shortest_event_interval_limit(service));
         let Some(choice) =
             select(&candidates, &self.demand(event_pause, fleet.is_large_fleet), self.cost_model())
         else {
@@ -150,9 +151,9 @@
             held: holds.len(),
         });
         let begun = stream.head_sent || !self.traffic.settings.mechanisms.early_refusal;
-        if begun || is_worth_sending(expected, self.route.objective, self.time_left()) {
+        if begun || can_answer_in_time(expected, self.route.objective, self.time_left()) {
             let server = servers[choice.index].clone();
-            return Found::Server { server, disturbs: choice.disturbs && !begun };
+            return Found::Server { server, disturbs: choice.delays_streams && !begun };
         }
         Found::TooBusy(expected)
     }
@@ -220,7 +221,11 @@
         }
     }
 
-    pub(super) fn demand(&self, event_pause: Option<Duration>, is_large_fleet: bool) -> Demand {
+    pub(super) fn demand(
+        &self,
+        event_pause: Option<Duration>,
+        is_large_fleet: bool,
+    ) -> RequestProfile {
         let shared = match self.traffic.settings.mechanisms.prompt_affinity {
             true => self.shared_parts().iter().map(|part| part.tokens).sum(),
             false => 0,
@@ -229,11 +234,11 @@
             true => event_pause,
             false => None,
         };
-        Demand {
-            unseen_millis: if is_large_fleet { UNSEEN_MILLIS } else { 0.0 },
-            event_pause_millis: event_pause.map(|pause| pause.as_secs_f64() * 1000.0),
-            reading_millis: self.reading(self.facts.prompt_tokens).as_secs_f64() * 1000.0,
-            shared_millis: self.reading(shared).as_secs_f64() * 1000.0,
+        RequestProfile {
+            unreported_millis: if is_large_fleet { UNSEEN_MILLIS } else { 0.0 },
+            event_interval_limit_millis: event_pause.map(|pause| pause.as_secs_f64() * 1000.0),
+            prefill_millis: self.reading(self.facts.prompt_tokens).as_secs_f64() * 1000.0,
+            shared_prefix_millis: self.reading(shared).as_secs_f64() * 1000.0,
         }
     }
 
@@ -263,10 +268,10 @@
             backlog_millis: load.pending.millis(),
             slots: record.slots,
             same_zone: record.zone == self.traffic.settings.zone,
-            has_connection: server.pool.has_idle(now),
+            has_idle_connection: server.pool.has_idle(now),
             failure_share: server.failure_share(now),
             affinity: self.affinity(&record.id),
-            kept_millis: 0.0,
+            cached_millis: 0.0,
         }
     }
 
--- a/crates/cometmoor-gateway/src/forward/relay.rs
+++ b/crates/cometmoor-gateway/src/forward/relay.rs
@@ -70,7 +70,7 @@
 
 /// Passes a long body on as it comes.
 pub async fn pass_long(forward: &Forward<'_>, mut received: Received, begin: Vec<u8>) -> Finish {
-    forward.note(Attempts::note_answering);
+    forward.note(Attempts::record_response_started);
     let (passed, keep) = framing(forward, &received);
     let mut bytes = encode::answer_head(&received.head, Some(passed), keep);
     push(passed, &begin, &mut bytes);
@@ -266,7 +266,7 @@
     let begun = framing(forward, received);
     state.passed = Some(begun);
     state.head_sent = true;
-    forward.note(Attempts::note_answering);
+    forward.note(Attempts::record_response_started);
     out.extend_from_slice(&encode::answer_head(&received.head, Some(begun.0), begun.1));
     begun
 }
--- a/crates/cometmoor-gateway/src/forward/send.rs
+++ b/crates/cometmoor-gateway/src/forward/send.rs
@@ -112,7 +112,7 @@
         let received = match exchanged {
             Ok(received) => received,
             Err(SendError::NotSent(_)) => {
-                note(Attempts::note_not_sent);
+                note(Attempts::record_not_sent);
                 is_sent(false);
                 return Sent::Unreachable;
             }
@@ -130,11 +130,11 @@
             let (status, misdirected) = (received.head.status, facts.misdirected);
             self.note_not_run(server, misdirected);
             let _ = received.drain(&server.pool).await;
-            note(Attempts::note_not_run);
+            note(Attempts::record_not_run);
             return Sent::NotRun { status, misdirected };
         }
         let success = (200..300).contains(&received.head.status);
-        if self.route.repeat.is_stream() && success {
+        if self.route.retry_policy.is_stream() && success {
             let mut meter = FirstEvent { guard: &mut guard, sent_at };
             return self.relay_stream(server, received, stream, &mut meter).await;
         }
@@ -236,7 +236,7 @@
             &server.record().incarnation,
             &status.to_string(),
         );
-        if self.route.repeat.may_run_again() {
+        if self.route.retry_policy.allows_rerun() {
             return Sent::ServerError(Box::new(received), collected.bytes);
         }
         Sent::Finished(self.pass_whole(received, collected.bytes).await)
--- a/crates/cometmoor-gateway/src/forward/tenant.rs
+++ b/crates/cometmoor-gateway/src/forward/tenant.rs
@@ -72,7 +72,7 @@
 
     /// Gives back what the request was charged, if no server can have run it.
     pub(super) fn give_quota_back(&self) {
-        if self.attempts.get().may_say_not_run()
+        if self.attempts.get().is_known_not_run()
             && let Some(tenant) = self.charged.take()
         {
             self.traffic.quota.give_back(&tenant, self.facts.tokens());
--- a/crates/cometmoor-gateway/src/forward/traffic.rs
+++ b/crates/cometmoor-gateway/src/forward/traffic.rs
@@ -109,6 +109,6 @@
     pub(super) fn may_repeat(&self, service: &str) -> bool {
         let nodes = self.board.fleet.load().nodes_seen;
         let now = self.now();
-        self.with_budget(service, |budget| budget.try_repeat(now, nodes))
+        self.with_budget(service, |budget| budget.try_retry(now, nodes))
     }
 }
--- a/crates/cometmoor-gateway/src/published.rs
+++ b/crates/cometmoor-gateway/src/published.rs
@@ -10,7 +10,7 @@
 use cometmoor_core::gateway::proof::ProofLimits;
 use cometmoor_core::gateway::registry::ServerRecord;
 use cometmoor_core::gateway::signals::IncarnationHash;
-use cometmoor_core::keys::KeyKnowledge;
+use cometmoor_core::keys::KeyFreshness;
 use cometmoor_core::time::BootInstant;
 use tokio::sync::Notify;
 
@@ -104,9 +104,9 @@
     }
 
     /// What the configuration's keys are good for now.
-    pub fn key_knowledge(&self) -> KeyKnowledge {
+    pub fn key_knowledge(&self) -> KeyFreshness {
         let knowledge = self.proof_limits.key_knowledge(self.proof_age());
-        KeyKnowledge { denies: knowledge.denies && !self.is_known_behind, ..knowledge }
+        KeyFreshness { denies: knowledge.denies && !self.is_known_behind, ..knowledge }
     }
 
     /// Name of a server's incarnation, where it is in the registry.
--- a/crates/cometmoor-gateway/tests/quota_world/tenants.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/tenants.rs
@@ -21,7 +21,7 @@
 
 impl SimulatedTenant {
     pub fn new(name: usize, per_second: f64, sends: f64) -> SimulatedTenant {
-        let unit = QuotaUnit::Tokens { unnamed: 200 };
+        let unit = QuotaUnit::Tokens { default_tokens: 200 };
         let limit = TenantLimit { per_second, burst: per_second, unit };
         SimulatedTenant {
             key: QuotaKey::of(&format!("tenant-{name}")),
--- a/crates/cometmoor-lab/src/emulator/fleet.rs
+++ b/crates/cometmoor-lab/src/emulator/fleet.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use cometmoor_core::gateway::admission::is_worth_sending;
-use cometmoor_core::gateway::selection::{Candidate, CostModel, Demand, select};
+use cometmoor_core::gateway::admission::can_answer_in_time;
+use cometmoor_core::gateway::selection::{Candidate, CostModel, RequestProfile, select};
 use cometmoor_gateway::load::{PendingWork, ServerLoad};
 use cometmoor_gateway::pace::PaceTable;
 use xxhash_rust::xxh3::xxh3_64;
@@ -108,10 +108,10 @@
         let objective = Duration::from_millis(scenario.kinds[arrival.kind].objective_millis);
         let expected = Duration::from_secs_f64(choice.cost.max(0.0) / 1000.0);
         let refuses = policy.mechanisms.early_refusal;
-        if refuses && !is_worth_sending(expected, objective, time_left) {
+        if refuses && !can_answer_in_time(expected, objective, time_left) {
             return Found::TooBusy(expected);
         }
-        match choice.disturbs {
+        match choice.delays_streams {
             true => Found::Disturbed(able[choice.index]),
             false => Found::Server(able[choice.index]),
         }
@@ -135,14 +135,14 @@
             backlog_millis: load.pending.millis(),
             slots: scenario.engines.slots as u32,
             same_zone: true,
-            has_connection: true,
+            has_idle_connection: true,
             failure_share: 0.0,
             affinity: xxh3_64(format!("{engine}/{}/{subject}", arrival.model).as_bytes()),
-            kept_millis: 0.0,
+            cached_millis: 0.0,
         }
     }
 
-    fn demand(&self, policy: &Policy, arrival: &Arrival) -> Demand {
+    fn demand(&self, policy: &Policy, arrival: &Arrival) -> RequestProfile {
         let paces = &self.nodes[arrival.node].paces;
         let millis = |tokens| paces.work(&model_name(arrival.model), tokens).as_secs_f64() * 1000.0;
         let shared = match policy.mechanisms.prompt_affinity {
@@ -150,11 +150,11 @@
             false => 0,
         };
         let protects = policy.mechanisms.pause_protection;
-        Demand {
-            reading_millis: millis(arrival.prompt_tokens),
-            shared_millis: millis(shared),
-            unseen_millis: 0.0,
-            event_pause_millis: self.shortest_pause.filter(|_| protects),
+        RequestProfile {
+            prefill_millis: millis(arrival.prompt_tokens),
+            shared_prefix_millis: millis(shared),
+            unreported_millis: 0.0,
+            event_interval_limit_millis: self.shortest_pause.filter(|_| protects),
         }
     }
 
--- a/crates/cometmoor-lab/src/emulator/placement.rs
+++ b/crates/cometmoor-lab/src/emulator/placement.rs
@@ -6,7 +6,7 @@
 
 use cometmoor_core::gateway::configuration::{EngineProfile, ModelProfile};
 use cometmoor_core::gateway::demand::DemandMeter;
-use cometmoor_core::gateway::load_rate::LoadRate;
+use cometmoor_core::gateway::load_rate::LoadRateLimiter;
 use cometmoor_core::gateway::orders::{Action, Weights};
 use cometmoor_core::gateway::planner::{
     DEMAND_KNOWN, FleetDemand, ModelDemand, PlannedOrder, PlannedServer, SHORTEST_STAY, plan,
@@ -69,7 +69,7 @@
     reading: DemandMeter<ModelIndex>,
     slots: DemandMeter<ModelIndex>,
     requests: DemandMeter<ModelIndex>,
-    load_rate: LoadRate,
+    load_rate: LoadRateLimiter,
     first_demand: Option<Timestamp>,
 }
 
@@ -88,9 +88,9 @@
             weights_megabytes: group.gigabytes * 1000.0,
             adapters: 0,
             adapter_megabytes: 0.0,
-            load: Duration::from_secs_f64(group.load_seconds),
-            load_from_disk: Duration::from_secs_f64(group.disk_seconds),
-            load_from_memory: Duration::from_secs_f64(group.memory_seconds),
+            store_load_time: Duration::from_secs_f64(group.load_seconds),
+            disk_load_time: Duration::from_secs_f64(group.disk_seconds),
+            memory_load_time: Duration::from_secs_f64(group.memory_seconds),
         }
     };
     EngineProfile {
@@ -100,9 +100,9 @@
         batch_slots: shape.slots as u32,
         cache_tokens: shape.cache_tokens,
         loads_per_second: shape.loads_per_second,
-        host_megabytes: shape.host_gigabytes * 1000.0,
-        disk_megabytes: shape.disk_gigabytes * 1000.0,
-        moves_runs: shape.moves_runs,
+        host_cache_megabytes: shape.host_gigabytes * 1000.0,
+        disk_cache_megabytes: shape.disk_gigabytes * 1000.0,
+        supports_run_migration: shape.moves_runs,
     }
 }
 
@@ -116,7 +116,7 @@
             reading: DemandMeter::default(),
             slots: DemandMeter::default(),
             requests: DemandMeter::default(),
-            load_rate: LoadRate::new(rate, LOAD_WINDOW, Timestamp(0), true),
+            load_rate: LoadRateLimiter::new(rate, LOAD_WINDOW, Timestamp(0), true),
             first_demand: None,
         }
     }
@@ -152,7 +152,7 @@
             .filter(|(_, engine)| engine.alive && engine.takes_work)
             .map(|(index, engine)| planned_server(index, engine, now))
             .collect();
-        let loads_left = self.load_rate.left(time);
+        let loads_left = self.load_rate.available(time);
         let orders = plan(&self.profile, &servers, &demand, loads_left);
         orders.iter().filter_map(|order| self.take_order(order, time)).collect()
     }
--- a/crates/cometmoor-lab/src/emulator/world/placement.rs
+++ b/crates/cometmoor-lab/src/emulator/world/placement.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cometmoor_core::gateway::admission::COME_BACK;
+use cometmoor_core::gateway::admission::DEFAULT_RETRY_AFTER;
 use cometmoor_core::gateway::planner::{ROUND, WITHDRAWAL};
 
 use super::super::arrivals::{Micros, micros};
@@ -86,7 +86,7 @@
         self.engines[engine].queue = kept;
         for run in refused {
             self.take_load(run.request);
-            self.refuse(run.request, COME_BACK);
+            self.refuse(run.request, DEFAULT_RETRY_AFTER);
         }
         self.engines[engine].finish_unload();
     }
--- a/crates/cometmoor-lab/src/emulator/world/requests.rs
+++ b/crates/cometmoor-lab/src/emulator/world/requests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cometmoor_core::gateway::admission::{
-    COME_BACK, WAIT_POLL, come_back_after_queue, come_back_in, longest_wait,
+    DEFAULT_RETRY_AFTER, QUEUE_POLL_INTERVAL, cap_retry_after, max_queue_wait, retry_after_queue,
 };
 
 use super::super::arrivals::{Arrival, Micros, micros};
@@ -23,7 +23,7 @@
         self.note_asked(request);
         let objective = self.objective(request);
         let wait = match self.policy.mechanisms.wait_for_server {
-            true => micros(longest_wait(objective, self.time_left(request))),
+            true => micros(max_queue_wait(objective, self.time_left(request))),
             false => 0,
         };
         self.look(request, self.now + wait);
@@ -55,16 +55,16 @@
         let left = self.time_left(request);
         let arrival = &self.arrivals[request];
         let found = self.fleet.pick(self.scenario, self.policy, &self.engines, arrival, left);
-        let waits = self.now + micros(WAIT_POLL) <= until;
+        let waits = self.now + micros(QUEUE_POLL_INTERVAL) <= until;
         match found {
             Found::Server(engine) => self.send(request, engine),
-            _ if waits => self.after(micros(WAIT_POLL), Event::Look(request, until)),
+            _ if waits => self.after(micros(QUEUE_POLL_INTERVAL), Event::Look(request, until)),
             Found::Disturbed(engine) => self.send(request, engine),
             Found::TooBusy(expected) => {
-                let after = come_back_after_queue(expected, self.objective(request));
+                let after = retry_after_queue(expected, self.objective(request));
                 self.refuse(request, after);
             }
-            Found::Nobody => self.refuse(request, COME_BACK),
+            Found::Nobody => self.refuse(request, DEFAULT_RETRY_AFTER),
         }
     }
 
@@ -88,7 +88,7 @@
             state.outcome = Some(Outcome::RefusedAgain);
             return;
         }
-        let after = come_back_in(come_back, self.time_left(request));
+        let after = cap_retry_after(come_back, self.time_left(request));
         if after >= self.time_left(request) {
             self.requests[request].outcome = Some(Outcome::Refused);
             return;
@@ -107,7 +107,7 @@
         }
         if !target.resident.contains(&arrival.model) {
             self.take_load(request);
-            return self.refuse(request, COME_BACK);
+            return self.refuse(request, DEFAULT_RETRY_AFTER);
         }
         target.admit(Run {
             request,
--- a/crates/cometmoor/src/control/snapshot.rs
+++ b/crates/cometmoor/src/control/snapshot.rs
@@ -5,7 +5,7 @@
 use arc_swap::ArcSwap;
 use cometmoor_core::catalog::Catalog;
 use cometmoor_core::freshness::Freshness;
-use cometmoor_core::keys::{KeyCheck, KeyDigest, KeyKnowledge, KeyRing, PresentedKey};
+use cometmoor_core::keys::{KeyCheck, KeyDigest, KeyFreshness, KeyRing, PresentedKey};
 use cometmoor_core::membership::Member;
 use cometmoor_core::routing::RouteTable;
 
@@ -41,7 +41,7 @@
     /// Decides on a bearer key. A node that may not serve its configuration cannot tell.
     pub fn authenticate(&self, key: PresentedKey) -> KeyCheck<'_, GroupAccess> {
         let may_serve = self.freshness.may_serve();
-        self.access.check(key, KeyKnowledge { admits: may_serve, denies: may_serve })
+        self.access.check(key, KeyFreshness { admits: may_serve, denies: may_serve })
     }
 }
 
--- a/crates/cometmoor/src/traffic/dispatcher.rs
+++ b/crates/cometmoor/src/traffic/dispatcher.rs
@@ -8,7 +8,7 @@
     Admission, AdmissionLimits, AdmissionRequest, Arrival, Decision, Shed, ShedReason, Slot, Ticket,
 };
 use cometmoor_core::retry::RetryBudget;
-use cometmoor_core::routing::{RouteTable, TwoChoices};
+use cometmoor_core::routing::{PowerOfTwoChoices, RouteTable};
 use tokio::sync::oneshot;
 
 use crate::clock::Clock;
@@ -20,7 +20,7 @@
 type Verdict = Result<Slot, Shed>;
 
 struct State {
-    admission: Admission<TwoChoices>,
+    admission: Admission<PowerOfTwoChoices>,
     waiters: HashMap<Ticket, oneshot::Sender<Verdict>>,
     retries: RetryBudget,
 }
@@ -53,7 +53,7 @@
             max_report_age: settings.timing.max_report_age(),
         };
         let state = State {
-            admission: Admission::new(limits, &settings.zone, TwoChoices),
+            admission: Admission::new(limits, &settings.zone, PowerOfTwoChoices),
             waiters: HashMap::new(),
             retries: RetryBudget::new(settings.limits.retry_share, MAX_SAVED_RETRIES),
         };
