--- a/crates/cometmoor-core/src/admission.rs
+++ b/crates/cometmoor-core/src/admission.rs
@@ -220,7 +220,7 @@
 
     /// Decides on a request. Decisions about other requests, which it may
     /// displace, are returned beside.
-    pub fn arrive(
+    pub fn submit(
         &mut self,
         request: AdmissionRequest,
         now: Timestamp,
@@ -328,7 +328,7 @@
 
     /// Notes that an engine refused a request because it is leaving; it gets
     /// no more until a newer report says otherwise.
-    pub fn note_leaving(&mut self, engine: &str) {
+    pub fn mark_leaving(&mut self, engine: &str) {
         self.engines.entry(engine.to_owned()).or_default().refused_as_leaving = true;
     }
 
--- a/crates/cometmoor-core/src/configuration.rs
+++ b/crates/cometmoor-core/src/configuration.rs
@@ -129,7 +129,7 @@
     }
 
     /// What a peer at `generation` needs; none when it lacks nothing.
-    pub fn update_after(&self, generation: u64) -> Option<Update> {
+    pub fn update_since(&self, generation: u64) -> Option<Update> {
         if generation >= self.generation {
             return None;
         }
--- a/crates/cometmoor-core/src/freshness.rs
+++ b/crates/cometmoor-core/src/freshness.rs
@@ -11,7 +11,7 @@
 
 /// What a node knows of its connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Connections {
+pub struct Connectivity {
     /// Age of the newest store read that this node knows of, its own or
     /// another's; none when it knows of none.
     pub store_read_age: Option<Duration>,
@@ -40,7 +40,7 @@
 }
 
 /// Judges the connections; a read younger than `tolerance` is current.
-pub fn judge(connections: Connections, tolerance: Duration) -> Freshness {
+pub fn assess(connections: Connectivity, tolerance: Duration) -> Freshness {
     if connections.store_read_age.is_some_and(|age| age <= tolerance) {
         return Freshness::Current;
     }
--- a/crates/cometmoor-core/src/idempotency.rs
+++ b/crates/cometmoor-core/src/idempotency.rs
@@ -55,7 +55,7 @@
 
 impl KeyPrefix {
     /// Reads the prefix of a whole key.
-    pub fn of_key(key: &str, system: &str) -> Result<KeyPrefix, KeyError> {
+    pub fn from_key(key: &str, system: &str) -> Result<KeyPrefix, KeyError> {
         if key.len() > MAX_KEY_BYTES {
             return Err(KeyError::TooLong);
         }
@@ -121,7 +121,7 @@
 
 /// How a request with a key goes on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Begin {
+pub enum BeginOutcome {
     /// Run it, and report the end by [`IdempotencyTable::finish`].
     Run,
     /// It is running: wait for its end.
@@ -146,7 +146,7 @@
 
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Finish {
+pub enum RunOutcome {
     /// It ran to its end.
     Complete(StoredAnswer),
     /// No part of it was run; the key may be used again.
@@ -232,30 +232,30 @@
         expires_at: Timestamp,
         fingerprint: u64,
         now: Timestamp,
-    ) -> Begin {
+    ) -> BeginOutcome {
         self.forget_expired(now);
         if let Some(entry) = self.entries.get(key) {
             return begin_again(entry, fingerprint);
         }
         if now >= expires_at {
             let certainly_not_run = now < self.forget_at(expires_at);
-            return Begin::Expired { certainly_not_run };
+            return BeginOutcome::Expired { certainly_not_run };
         }
         // An expiry that this table cannot have issued would have to be
         // remembered for longer than the bounds foresee.
         if expires_at > self.expiry(now) {
-            return Begin::Expired { certainly_not_run: true };
+            return BeginOutcome::Expired { certainly_not_run: true };
         }
         if self.closed {
-            return Begin::Closed;
+            return BeginOutcome::Closed;
         }
         if self.entries.len() >= self.limits.max_entries || self.bytes >= self.limits.max_bytes {
-            return Begin::Full;
+            return BeginOutcome::Full;
         }
         let entry = Entry { fingerprint, expires_at, run: Run::Running, bytes: 0 };
         self.entries.insert(key.to_owned(), entry);
         self.expiries.push_back((self.forget_at(expires_at), key.to_owned()));
-        Begin::Run
+        BeginOutcome::Run
     }
 
     /// An expired key stays known for a second lifetime, so that its last
@@ -265,16 +265,16 @@
     }
 
     /// Notes how the run of a key ended.
-    pub fn finish(&mut self, key: &str, finish: Finish) {
+    pub fn finish(&mut self, key: &str, finish: RunOutcome) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
         match finish {
-            Finish::NotRun => {
+            RunOutcome::NotRun => {
                 self.entries.remove(key);
             }
-            Finish::Unknown => entry.run = Run::Unknown,
-            Finish::Complete(answer) => {
+            RunOutcome::Unknown => entry.run = Run::Unknown,
+            RunOutcome::Complete(answer) => {
                 entry.bytes = answer.body.len();
                 self.bytes += entry.bytes;
                 entry.run = Run::Complete(answer);
@@ -311,14 +311,14 @@
     }
 }
 
-fn begin_again(entry: &Entry, fingerprint: u64) -> Begin {
+fn begin_again(entry: &Entry, fingerprint: u64) -> BeginOutcome {
     if entry.fingerprint != fingerprint {
-        return Begin::DifferentRequest;
+        return BeginOutcome::DifferentRequest;
     }
     match &entry.run {
-        Run::Running => Begin::AlreadyRunning,
-        Run::Complete(answer) => Begin::Replay(answer.clone()),
-        Run::Unknown => Begin::Unknown,
+        Run::Running => BeginOutcome::AlreadyRunning,
+        Run::Complete(answer) => BeginOutcome::Replay(answer.clone()),
+        Run::Unknown => BeginOutcome::Unknown,
     }
 }
 
--- a/crates/cometmoor-core/src/ledger.rs
+++ b/crates/cometmoor-core/src/ledger.rs
@@ -96,7 +96,7 @@
     }
 
     /// Enters an order before it is sent. It must not be sent on an error.
-    pub fn enter(&mut self, fence: Fence, action: OrderAction) -> Result<(), LedgerError> {
+    pub fn record_order(&mut self, fence: Fence, action: OrderAction) -> Result<(), LedgerError> {
         if self.incarnation.is_none() {
             return Err(LedgerError::NoInventory);
         }
@@ -122,12 +122,12 @@
     }
 
     /// Notes a raised fence that the engine has confirmed or may confirm.
-    pub fn note_fence(&mut self, fence: Fence) {
+    pub fn record_fence(&mut self, fence: Fence) {
         self.highest_sent = self.highest_sent.max(fence);
     }
 
     /// Takes a report in. Older reports of the same incarnation are dropped.
-    pub fn observe(&mut self, report: &Inventory) {
+    pub fn apply_report(&mut self, report: &Inventory) {
         let same = self.incarnation == Some(report.incarnation);
         if same && report.fence < self.reported_fence {
             return;
--- a/crates/cometmoor-core/src/membership.rs
+++ b/crates/cometmoor-core/src/membership.rs
@@ -79,18 +79,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipTimes {
     /// How long a suspicion waits to be refuted among up to
-    /// [`SMALL_GROUP`] members. It grows with the logarithm of their number,
+    /// [`SUSPICION_BASE_MEMBERS`] members. It grows with the logarithm of their number,
     /// as the time does that a refutation takes to spread.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// How long a dead member is remembered, so that late updates about it
     /// are recognised as old.
-    pub remember_dead: Duration,
+    pub dead_retention: Duration,
 }
 
 /// Members up to which a suspicion lasts for the time of the settings.
-pub const SMALL_GROUP: usize = 8;
+pub const SUSPICION_BASE_MEMBERS: usize = 8;
 /// Peers that are asked to probe one that does not answer.
-pub const PROBE_HELPERS: usize = 3;
+pub const INDIRECT_PROBERS: usize = 3;
 /// Updates sent in one exchange, beside the sender's own entry.
 pub const UPDATES_PER_EXCHANGE: usize = 16;
 /// An update is sent this often, times the logarithm of the number of members.
@@ -174,7 +174,7 @@
     }
 
     /// Peers that were heard within a period.
-    pub fn heard_within(&self, period: Duration, now: Timestamp) -> usize {
+    pub fn contacted_within(&self, period: Duration, now: Timestamp) -> usize {
         let heard = |entry: &&Entry| entry.last_heard.is_some_and(|at| now.since(at) <= period);
         self.others.values().filter(heard).count()
     }
@@ -215,7 +215,7 @@
     /// Takes an update in that others know already, for it came with all that
     /// a peer knows. To pass it on would cost each new node an exchange with
     /// the whole system.
-    pub fn merge_known(&mut self, update: Member, now: Timestamp) -> Option<MemberChange> {
+    pub fn merge_without_gossip(&mut self, update: Member, now: Timestamp) -> Option<MemberChange> {
         self.merge_with(update, 0, now)
     }
 
@@ -257,23 +257,23 @@
     }
 
     /// Notes that a peer has answered or asked.
-    pub fn heard_from(&mut self, name: &str, now: Timestamp) {
+    pub fn record_contact(&mut self, name: &str, now: Timestamp) {
         if let Some(entry) = self.others.get_mut(name) {
             entry.last_heard = Some(now);
         }
     }
 
     /// Some peers, to be asked to probe one that did not answer.
-    pub fn probe_helpers(&self, target: &str, random: &mut dyn RngCore) -> Vec<Member> {
-        let mut helpers = self.random_peers(PROBE_HELPERS + 1, random);
+    pub fn indirect_probers(&self, target: &str, random: &mut dyn RngCore) -> Vec<Member> {
+        let mut helpers = self.random_peers(INDIRECT_PROBERS + 1, random);
         helpers.retain(|member| member.name != target);
-        helpers.truncate(PROBE_HELPERS);
+        helpers.truncate(INDIRECT_PROBERS);
         helpers
     }
 
     /// The peers that this node tells of news: always the same few while the
     /// members do not change, so that connections to them can be kept.
-    pub fn neighbours(&self, count: usize) -> Vec<&Member> {
+    pub fn gossip_targets(&self, count: usize) -> Vec<&Member> {
         let alive = self.peers().filter(|member| member.state == MemberState::Alive);
         let candidates: Vec<HomeCandidate> = alive.map(HomeCandidate::from).collect();
         let chosen = home_nodes(&self.own.name, &candidates, count);
@@ -309,7 +309,7 @@
             .filter(|entry| now.since(entry.since) >= suspicion)
             .map(|entry| Member { state: MemberState::Dead, ..entry.member.clone() })
             .collect();
-        let remember = self.times.remember_dead;
+        let remember = self.times.dead_retention;
         let known = self.others.len();
         self.others.retain(|_, entry| {
             entry.member.state != MemberState::Dead || now.since(entry.since) < remember
@@ -334,8 +334,8 @@
     }
 
     fn suspicion(&self) -> Duration {
-        let members = (self.others.len() + 1).max(SMALL_GROUP);
-        self.times.suspicion * members.ilog2() / SMALL_GROUP.ilog2()
+        let members = (self.others.len() + 1).max(SUSPICION_BASE_MEMBERS);
+        self.times.suspicion_timeout * members.ilog2() / SUSPICION_BASE_MEMBERS.ilog2()
     }
 
     /// The updates for one exchange with a peer, those sent least often first.
--- a/crates/cometmoor-core/src/unfenced.rs
+++ b/crates/cometmoor-core/src/unfenced.rs
@@ -117,7 +117,7 @@
 
     /// The record after some planners' processes are known to have ended:
     /// only copies that they sent before can still arrive.
-    pub fn release(&self, ended: impl Fn(&PlannerId) -> bool) -> OrderRecord {
+    pub fn release_planners(&self, ended: impl Fn(&PlannerId) -> bool) -> OrderRecord {
         let mut next = self.clone();
         for late in &mut next.late_loads {
             late.planner = late.planner.take().filter(|planner| !ended(planner));
@@ -126,7 +126,7 @@
     }
 
     /// The record after some answered loads can no longer be delivered again.
-    pub fn settle(&self, over: impl Fn(&Artifact) -> bool) -> OrderRecord {
+    pub fn drop_answered_loads(&self, over: impl Fn(&Artifact) -> bool) -> OrderRecord {
         let mut next = self.clone();
         next.answered_loads.retain(|load| !over(&load.artifact));
         next
@@ -240,7 +240,7 @@
     }
 
     /// The record after an attempt that was not answered.
-    pub fn note_unanswered(&self) -> OrderRecord {
+    pub fn mark_unanswered(&self) -> OrderRecord {
         let mut next = self.clone();
         if let Some(open) = &mut next.open {
             open.unanswered_copies = true;
--- a/crates/cometmoor-core/tests/admission.rs
+++ b/crates/cometmoor-core/tests/admission.rs
@@ -100,7 +100,7 @@
                 let deadline = self.now + Duration::from_millis(u64::from(patience) + 1);
                 let request = request(model, group, deadline);
                 let (arrival, decisions) =
-                    self.admission.arrive(request, self.now, &mut self.random);
+                    self.admission.submit(request, self.now, &mut self.random);
                 match arrival {
                     Arrival::Dispatched(slot) => self.started(slot),
                     Arrival::Waiting(ticket) => {
@@ -140,7 +140,7 @@
             }
             Step::Refused { engine } => {
                 let engine = format!("e{}", engine % ENGINES);
-                self.admission.note_leaving(&engine);
+                self.admission.mark_leaving(&engine);
                 self.refused.insert(engine);
             }
         }
@@ -214,7 +214,7 @@
     // Group 0 is busy alone at first; group 1 then arrives with as much.
     for group in [0, 1] {
         for _ in 0..300 {
-            let (arrival, _) = admission.arrive(request(0, group, far), now, &mut random);
+            let (arrival, _) = admission.submit(request(0, group, far), now, &mut random);
             match arrival {
                 Arrival::Dispatched(slot) => running.push(slot),
                 Arrival::Waiting(ticket) => {
@@ -249,15 +249,15 @@
     let far = Timestamp(u64::MAX);
     let mut flood = Vec::new();
     for _ in 0..8 {
-        let (arrival, _) = admission.arrive(request(0, 0, far), now, &mut random);
+        let (arrival, _) = admission.submit(request(0, 0, far), now, &mut random);
         if let Arrival::Waiting(ticket) = arrival {
             flood.push(ticket);
         }
     }
     assert_eq!(flood.len(), 4);
-    let (arrival, _) = admission.arrive(request(0, 0, far), now, &mut random);
+    let (arrival, _) = admission.submit(request(0, 0, far), now, &mut random);
     assert!(matches!(arrival, Arrival::Shed(shed) if shed.reason == ShedReason::QueueFull));
-    let (arrival, decisions) = admission.arrive(request(0, 1, far), now, &mut random);
+    let (arrival, decisions) = admission.submit(request(0, 1, far), now, &mut random);
     assert!(matches!(arrival, Arrival::Waiting(_)), "{arrival:?}");
     assert!(matches!(decisions[..], [Decision::Shed(ticket, _)] if ticket == flood[3]));
 }
@@ -268,7 +268,7 @@
     let mut world = World::new();
     world.now = world.now + MAX_REPORT_AGE + Duration::from_millis(1);
     let patient = request(0, 0, Timestamp(u64::MAX));
-    let (arrival, _) = world.admission.arrive(patient, world.now, &mut world.random);
+    let (arrival, _) = world.admission.submit(patient, world.now, &mut world.random);
     let Arrival::Waiting(ticket) = arrival else { panic!("{arrival:?}") };
     let fresh = table(None, world.now);
     let decisions = world.admission.update_routes(fresh, world.now, &mut world.random);
@@ -280,6 +280,6 @@
     let mut world = World::new();
     let mut refused = request(0, 0, Timestamp(u64::MAX));
     refused.excluded = (0..ENGINES).map(|index| format!("e{index}")).collect();
-    let (arrival, _) = world.admission.arrive(refused, world.now, &mut world.random);
+    let (arrival, _) = world.admission.submit(refused, world.now, &mut world.random);
     assert!(matches!(arrival, Arrival::Shed(shed) if shed.reason == ShedReason::NoEngine));
 }
--- a/crates/cometmoor-core/tests/configuration.rs
+++ b/crates/cometmoor-core/tests/configuration.rs
@@ -75,7 +75,7 @@
                     Some(changes(base, (base + u64::from(count) % 8).min(HISTORY)))
                 }
                 Step::Pull { peer } => {
-                    reference(u64::from(peer) % (HISTORY + 1)).update_after(before)
+                    reference(u64::from(peer) % (HISTORY + 1)).update_since(before)
                 }
             };
             let Some(update) = update else { continue };
@@ -106,7 +106,7 @@
 fn a_peer_that_lags_far_gets_everything() {
     let capacity = CHANGE_LOG_CAPACITY as u64;
     let newest = reference(capacity + 5);
-    assert!(matches!(newest.update_after(4), Some(Update::Full { .. })));
-    assert!(matches!(newest.update_after(5), Some(Update::Changes { base: 5, .. })));
-    assert!(newest.update_after(capacity + 5).is_none());
+    assert!(matches!(newest.update_since(4), Some(Update::Full { .. })));
+    assert!(matches!(newest.update_since(5), Some(Update::Changes { base: 5, .. })));
+    assert!(newest.update_since(capacity + 5).is_none());
 }
--- a/crates/cometmoor-core/tests/idempotency.rs
+++ b/crates/cometmoor-core/tests/idempotency.rs
@@ -6,7 +6,8 @@
 
 use bolero::TypeGenerator;
 use cometmoor_core::idempotency::{
-    Begin, Finish, IdempotencyLimits, IdempotencyTable, KeyError, KeyPrefix, StoredAnswer,
+    BeginOutcome, IdempotencyLimits, IdempotencyTable, KeyError, KeyPrefix, RunOutcome,
+    StoredAnswer,
 };
 use cometmoor_core::time::Timestamp;
 use schedules::for_each_schedule;
@@ -88,19 +89,19 @@
         let begin = self.table.begin(&key.to_string(), World::expiry(key), FINGERPRINT, self.now);
         let runs = &mut self.runs[usize::from(key)];
         match begin {
-            Begin::Run => {
+            BeginOutcome::Run => {
                 assert_eq!(runs.effective, 0, "key {key} was run before");
                 assert!(!runs.running && !self.closed && self.now < World::expiry(key));
                 runs.running = true;
             }
-            Begin::Expired { certainly_not_run: true } => {
+            BeginOutcome::Expired { certainly_not_run: true } => {
                 assert!(runs.effective == 0 && !runs.running, "key {key} was run");
             }
-            Begin::Replay(_) => assert_eq!(runs.effective, 1),
-            Begin::AlreadyRunning => assert!(runs.running),
-            Begin::Unknown => assert_eq!(runs.effective, 1),
-            Begin::DifferentRequest => unreachable!("all requests are the same"),
-            Begin::Expired { .. } | Begin::Full | Begin::Closed => {}
+            BeginOutcome::Replay(_) => assert_eq!(runs.effective, 1),
+            BeginOutcome::AlreadyRunning => assert!(runs.running),
+            BeginOutcome::Unknown => assert_eq!(runs.effective, 1),
+            BeginOutcome::DifferentRequest => unreachable!("all requests are the same"),
+            BeginOutcome::Expired { .. } | BeginOutcome::Full | BeginOutcome::Closed => {}
         }
     }
 
@@ -111,11 +112,11 @@
         }
         runs.running = false;
         let finish = match end {
-            End::Complete => Finish::Complete(answer()),
-            End::NotRun => Finish::NotRun,
-            End::Unknown => Finish::Unknown,
+            End::Complete => RunOutcome::Complete(answer()),
+            End::NotRun => RunOutcome::NotRun,
+            End::Unknown => RunOutcome::Unknown,
         };
-        runs.effective += u32::from(finish != Finish::NotRun);
+        runs.effective += u32::from(finish != RunOutcome::NotRun);
         self.table.finish(&key.to_string(), finish);
     }
 }
@@ -139,22 +140,25 @@
 fn a_key_keeps_to_its_request() {
     let mut table = IdempotencyTable::new(LIMITS);
     let expiry = World::expiry(0);
-    assert_eq!(table.begin("0", expiry, 1, Timestamp(0)), Begin::Run);
-    assert_eq!(table.begin("0", expiry, 2, Timestamp(0)), Begin::DifferentRequest);
-    table.finish("0", Finish::Complete(answer()));
-    assert_eq!(table.begin("0", expiry, 1, Timestamp(1)), Begin::Replay(answer()));
+    assert_eq!(table.begin("0", expiry, 1, Timestamp(0)), BeginOutcome::Run);
+    assert_eq!(table.begin("0", expiry, 2, Timestamp(0)), BeginOutcome::DifferentRequest);
+    table.finish("0", RunOutcome::Complete(answer()));
+    assert_eq!(table.begin("0", expiry, 1, Timestamp(1)), BeginOutcome::Replay(answer()));
 }
 
 #[test]
 fn a_full_table_takes_no_further_key_until_old_ones_are_forgotten() {
     let mut table = IdempotencyTable::new(LIMITS);
     for key in 0..3 {
-        assert_eq!(table.begin(&key.to_string(), Timestamp(100), 1, Timestamp(0)), Begin::Run);
+        assert_eq!(
+            table.begin(&key.to_string(), Timestamp(100), 1, Timestamp(0)),
+            BeginOutcome::Run
+        );
     }
-    assert_eq!(table.begin("3", Timestamp(100), 1, Timestamp(0)), Begin::Full);
+    assert_eq!(table.begin("3", Timestamp(100), 1, Timestamp(0)), BeginOutcome::Full);
     let later = Timestamp(200);
-    assert_eq!(table.begin("3", Timestamp(300), 1, later), Begin::Run);
-    let forgotten = Begin::Expired { certainly_not_run: false };
+    assert_eq!(table.begin("3", Timestamp(300), 1, later), BeginOutcome::Run);
+    let forgotten = BeginOutcome::Expired { certainly_not_run: false };
     assert_eq!(table.begin("0", Timestamp(100), 1, later), forgotten);
 }
 
@@ -167,9 +171,9 @@
         expires_at: Timestamp(0x1234),
     };
     let key = format!("{prefix}order/17");
-    assert_eq!(KeyPrefix::of_key(&key, "lab"), Ok(prefix.clone()));
-    assert_eq!(KeyPrefix::of_key(&key, "other"), Err(KeyError::ForeignSystem));
-    assert_eq!(KeyPrefix::of_key(&prefix.to_string(), "lab"), Err(KeyError::Malformed));
-    assert_eq!(KeyPrefix::of_key("order-17", "lab"), Err(KeyError::Malformed));
-    assert_eq!(KeyPrefix::of_key(&"x".repeat(300), "lab"), Err(KeyError::TooLong));
+    assert_eq!(KeyPrefix::from_key(&key, "lab"), Ok(prefix.clone()));
+    assert_eq!(KeyPrefix::from_key(&key, "other"), Err(KeyError::ForeignSystem));
+    assert_eq!(KeyPrefix::from_key(&prefix.to_string(), "lab"), Err(KeyError::Malformed));
+    assert_eq!(KeyPrefix::from_key("order-17", "lab"), Err(KeyError::Malformed));
+    assert_eq!(KeyPrefix::from_key(&"x".repeat(300), "lab"), Err(KeyError::TooLong));
 }
--- a/crates/cometmoor-core/tests/ledger.rs
+++ b/crates/cometmoor-core/tests/ledger.rs
@@ -147,7 +147,7 @@
         };
         let fence = planner.next_fence();
         let is_load = matches!(action, OrderAction::Load { .. });
-        if planner.ledger.enter(fence, action.clone()).is_ok() {
+        if planner.ledger.record_order(fence, action.clone()).is_ok() {
             self.network.push(Order { incarnation, fence, action });
             self.loads_sent += u64::from(is_load);
         }
@@ -173,14 +173,14 @@
             Step::Raise { planner } => {
                 let planner = &mut self.planners[usize::from(planner)];
                 let fence = planner.next_fence();
-                planner.ledger.note_fence(fence);
+                planner.ledger.record_fence(fence);
                 if self.engine.raise(fence) {
-                    planner.ledger.observe(&self.engine.report());
+                    planner.ledger.apply_report(&self.engine.report());
                 }
             }
             Step::Report { planner } => {
                 let report = self.engine.report();
-                self.planners[usize::from(planner)].ledger.observe(&report);
+                self.planners[usize::from(planner)].ledger.apply_report(&report);
             }
             Step::Restart => self.engine.restart(),
             Step::TakeOver => {
@@ -233,18 +233,18 @@
     let mut engine = Engine { incarnation: 1, ..Engine::default() };
     let fence = |sequence| Fence { epoch: 1, sequence };
     let load = |bytes| OrderAction::Load { artifact: artifact(0), bytes };
-    assert_eq!(ledger.enter(fence(1), load(1)), Err(LedgerError::NoInventory));
-    ledger.observe(&engine.report());
-    assert_eq!(ledger.enter(fence(1), load(1)), Err(LedgerError::FenceNotRaised));
+    assert_eq!(ledger.record_order(fence(1), load(1)), Err(LedgerError::NoInventory));
+    ledger.apply_report(&engine.report());
+    assert_eq!(ledger.record_order(fence(1), load(1)), Err(LedgerError::FenceNotRaised));
     engine.raise(fence(1));
-    ledger.observe(&engine.report());
-    ledger.enter(fence(2), load(7)).unwrap();
-    ledger.observe(&engine.report());
+    ledger.apply_report(&engine.report());
+    ledger.record_order(fence(2), load(7)).unwrap();
+    ledger.apply_report(&engine.report());
     assert_eq!(ledger.free_bytes(), 3, "the report is older than the order");
     let other = OrderAction::Load { artifact: artifact(1), bytes: 4 };
     let refused = LedgerError::Overcommit { needed_bytes: 4, free_bytes: 3 };
-    assert_eq!(ledger.enter(fence(3), other), Err(refused));
+    assert_eq!(ledger.record_order(fence(3), other), Err(refused));
     engine.raise(fence(4));
-    ledger.observe(&engine.report());
+    ledger.apply_report(&engine.report());
     assert_eq!(ledger.free_bytes(), CAPACITY, "the load can take no effect any more");
 }
--- a/crates/cometmoor-core/tests/limits.rs
+++ b/crates/cometmoor-core/tests/limits.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bolero::TypeGenerator;
-use cometmoor_core::freshness::{Connections, Freshness, judge};
+use cometmoor_core::freshness::{Connectivity, Freshness, assess};
 use cometmoor_core::homes::{HomeCandidate, home_nodes};
 use cometmoor_core::retry::{CircuitBreaker, RetryBudget};
 use cometmoor_core::time::Timestamp;
@@ -96,16 +96,16 @@
 #[test]
 fn a_store_outage_is_told_from_being_cut_off() {
     let tolerance = Duration::from_secs(5);
-    let connections = |age: Option<u64>, known_peers, reachable_peers| Connections {
+    let connections = |age: Option<u64>, known_peers, reachable_peers| Connectivity {
         store_read_age: age.map(Duration::from_secs),
         known_peers,
         reachable_peers,
     };
-    assert_eq!(judge(connections(Some(1), 8, 0), tolerance), Freshness::Current);
-    assert_eq!(judge(connections(Some(60), 8, 8), tolerance), Freshness::StoreOutage);
-    assert_eq!(judge(connections(Some(60), 8, 4), tolerance), Freshness::StoreOutage);
-    assert_eq!(judge(connections(Some(60), 8, 3), tolerance), Freshness::Isolated);
-    assert_eq!(judge(connections(None, 8, 0), tolerance), Freshness::Isolated);
+    assert_eq!(assess(connections(Some(1), 8, 0), tolerance), Freshness::Current);
+    assert_eq!(assess(connections(Some(60), 8, 8), tolerance), Freshness::StoreOutage);
+    assert_eq!(assess(connections(Some(60), 8, 4), tolerance), Freshness::StoreOutage);
+    assert_eq!(assess(connections(Some(60), 8, 3), tolerance), Freshness::Isolated);
+    assert_eq!(assess(connections(None, 8, 0), tolerance), Freshness::Isolated);
     assert!(!Freshness::Isolated.may_serve());
 }
 
--- a/crates/cometmoor-core/tests/membership.rs
+++ b/crates/cometmoor-core/tests/membership.rs
@@ -12,8 +12,10 @@
 
 const NODES: usize = 40;
 const ROUND: Duration = Duration::from_millis(500);
-const TIMES: MembershipTimes =
-    MembershipTimes { suspicion: Duration::from_secs(3), remember_dead: Duration::from_secs(600) };
+const TIMES: MembershipTimes = MembershipTimes {
+    suspicion_timeout: Duration::from_secs(3),
+    dead_retention: Duration::from_secs(600),
+};
 
 fn member(index: usize, incarnation: u64) -> Member {
     Member {
@@ -76,7 +78,7 @@
             for update in std::iter::once(own).chain(updates) {
                 let receiver = &mut self.nodes[receiver];
                 let change = if whole {
-                    receiver.merge_known(update, now)
+                    receiver.merge_without_gossip(update, now)
                 } else {
                     receiver.merge(update, now)
                 };
@@ -84,7 +86,7 @@
                     *self.deaths.entry(change.name).or_insert(0) += 1;
                 }
             }
-            self.nodes[receiver].heard_from(&name, now);
+            self.nodes[receiver].record_contact(&name, now);
         }
     }
 
@@ -113,7 +115,7 @@
 
     fn helper_reaches(&mut self, from: usize, to: usize) -> bool {
         let name = format!("n{to}");
-        let helpers = self.nodes[from].probe_helpers(&name, &mut self.random);
+        let helpers = self.nodes[from].indirect_probers(&name, &mut self.random);
         helpers.iter().any(|helper| {
             let helper: usize = helper.peer_address.parse().unwrap();
             self.reachable(from, helper) && self.reachable(helper, to)
@@ -230,7 +232,7 @@
     let alone = &network.nodes[0];
     assert_eq!(alone.peers().count(), 0);
     assert_eq!(alone.expected_peers(), NODES - 2);
-    assert_eq!(alone.heard_within(Duration::from_secs(5), network.now), 0);
+    assert_eq!(alone.contacted_within(Duration::from_secs(5), network.now), 0);
 }
 
 #[test]
--- a/crates/cometmoor-core/tests/placement.rs
+++ b/crates/cometmoor-core/tests/placement.rs
@@ -142,7 +142,7 @@
         for name in &names {
             let inventory = self.report(name);
             let ledger = &mut self.engines.get_mut(name).unwrap().1;
-            ledger.observe(&inventory);
+            ledger.apply_report(&inventory);
             let free_bytes = ledger.free_bytes();
             let spec = &self.catalog.engine(name).unwrap().spec;
             let mut capacity = EngineCapacity::empty(name, spec);
@@ -167,7 +167,7 @@
     fn carry_out(&mut self, engine: &str, action: &OrderAction) {
         self.fence.sequence += 1;
         let (resident, ledger) = self.engines.get_mut(engine).unwrap();
-        ledger.enter(self.fence, action.clone()).unwrap();
+        ledger.record_order(self.fence, action.clone()).unwrap();
         match action {
             OrderAction::Load { artifact, bytes } => {
                 resident.insert(artifact.clone(), *bytes);
--- a/crates/cometmoor-core/tests/unfenced.rs
+++ b/crates/cometmoor-core/tests/unfenced.rs
@@ -152,7 +152,7 @@
         let cleared = planner
             .record
             .at_incarnation(self.engine.incarnation, &planner.id)
-            .release(|id| !running.contains(id) || *id == planner.id)
+            .release_planners(|id| !running.contains(id) || *id == planner.id)
             .adopt_open_order(&planner.id);
         if cleared != planner.record && !self.write(index, cleared) {
             return;
@@ -181,7 +181,7 @@
             return;
         };
         if !answered {
-            let noted = planner.record.note_unanswered();
+            let noted = planner.record.mark_unanswered();
             self.copies.push((self.engine.incarnation, action));
             if !self.write(index, noted) {
                 self.planners[usize::from(index)].to_send = None;
@@ -225,7 +225,8 @@
             }
             Step::Settle { planner } => {
                 self.duplicates.clear();
-                let settled = self.planners[usize::from(planner)].record.settle(|_| true);
+                let settled =
+                    self.planners[usize::from(planner)].record.drop_answered_loads(|_| true);
                 self.write(planner, settled);
             }
             Step::Restart => {
--- a/crates/cometmoor/src/control/configuration.rs
+++ b/crates/cometmoor/src/control/configuration.rs
@@ -77,7 +77,7 @@
     type Result = MessageResult<UpdateAfter>;
 
     fn handle(&mut self, after: UpdateAfter, _: &mut Context<Self>) -> Self::Result {
-        MessageResult(self.configuration.update_after(after.0))
+        MessageResult(self.configuration.update_since(after.0))
     }
 }
 
--- a/crates/cometmoor/src/control/membership.rs
+++ b/crates/cometmoor/src/control/membership.rs
@@ -8,7 +8,7 @@
 
 use actix::{Actor, Addr, AsyncContext, Context, Handler, Message, MessageResult, ResponseFuture};
 use actix::{ActorFutureExt, WrapFuture};
-use cometmoor_core::freshness::{Connections, Freshness, judge};
+use cometmoor_core::freshness::{Connectivity, Freshness, assess};
 use cometmoor_core::membership::{
     Member, MemberChange, Membership, MembershipTimes, UPDATES_PER_EXCHANGE,
 };
@@ -64,8 +64,8 @@
     ) -> Self {
         let own = own_member(&context.settings, context.incarnation);
         let times = MembershipTimes {
-            suspicion: millis(context.settings.timing.suspicion_millis),
-            remember_dead: REMEMBER_DEAD,
+            suspicion_timeout: millis(context.settings.timing.suspicion_millis),
+            dead_retention: REMEMBER_DEAD,
         };
         MembershipActor {
             membership: Membership::new(own, times),
@@ -154,7 +154,7 @@
         actor_context: &mut Context<Self>,
     ) {
         debug!("{} probing {name} failed: {error}", Part::Membership);
-        let helpers = self.membership.probe_helpers(&name, &mut rand::rng());
+        let helpers = self.membership.indirect_probers(&name, &mut rand::rng());
         let addresses: Vec<SocketAddr> =
             helpers.iter().filter_map(|helper| helper.peer_address.parse().ok()).collect();
         let peers = self.peers.clone();
@@ -227,13 +227,13 @@
         changes.extend(self.membership.merge(digest.from, now));
         for member in digest.members {
             changes.extend(if is_whole {
-                self.membership.merge_known(member, now)
+                self.membership.merge_without_gossip(member, now)
             } else {
                 self.membership.merge(member, now)
             });
         }
         changes.iter().for_each(log_change);
-        self.membership.heard_from(&name, now);
+        self.membership.record_contact(&name, now);
         if let Some(age) = digest.store_read_age {
             self.configuration.do_send(NoteStoreRead(age));
         }
@@ -269,12 +269,12 @@
     fn judge_freshness(&mut self) {
         let now = self.context.clock.now();
         let tolerance = millis(self.context.settings.timing.freshness_millis);
-        let connections = Connections {
+        let connections = Connectivity {
             store_read_age: self.store_read_age,
             known_peers: self.membership.expected_peers(),
-            reachable_peers: self.membership.heard_within(tolerance, now),
+            reachable_peers: self.membership.contacted_within(tolerance, now),
         };
-        let freshness = judge(connections, tolerance);
+        let freshness = assess(connections, tolerance);
         if freshness != self.freshness {
             info!("{} the configuration's state is {freshness:?}", Part::Membership);
             self.freshness = freshness;
@@ -298,7 +298,7 @@
     /// Tells the neighbours at once, instead of waiting for probes. Each of
     /// them tells others, so that the news spreads to all in a few steps.
     fn announce(&mut self, actor_context: &mut Context<Self>) {
-        let neighbours = self.membership.neighbours(ANNOUNCE_FAN_OUT);
+        let neighbours = self.membership.gossip_targets(ANNOUNCE_FAN_OUT);
         let targets: Vec<Member> = neighbours.into_iter().cloned().collect();
         for target in targets {
             if let Ok(address) = target.peer_address.parse() {
--- a/crates/cometmoor/src/control/planner/fenced.rs
+++ b/crates/cometmoor/src/control/planner/fenced.rs
@@ -58,7 +58,7 @@
     pub async fn refresh(&mut self, client: &EngineClient) -> Result<(), OrderError> {
         let result = if self.needs_fence() {
             let fence = self.next_fence();
-            self.ledger.note_fence(fence);
+            self.ledger.record_fence(fence);
             client.raise_fence(&self.address, &RaiseFence { fence }, ORDER_TIMEOUT).await
         } else {
             client.inventory(&self.address, ORDER_TIMEOUT).await
@@ -76,7 +76,7 @@
             return Err(OrderError::Ledger(cometmoor_core::ledger::LedgerError::NoInventory));
         };
         let fence = self.next_fence();
-        self.ledger.enter(fence, action.clone()).map_err(OrderError::Ledger)?;
+        self.ledger.record_order(fence, action.clone()).map_err(OrderError::Ledger)?;
         let order = Order { incarnation, fence, action };
         let result = client.order(&self.address, &order, ORDER_TIMEOUT).await;
         self.take_report(result)
@@ -99,7 +99,7 @@
     ) -> Result<(), OrderError> {
         match result {
             Ok(inventory) => {
-                self.ledger.observe(&inventory);
+                self.ledger.apply_report(&inventory);
                 self.inventory = Some(inventory);
                 Ok(())
             }
--- a/crates/cometmoor/src/control/planner/unfenced.rs
+++ b/crates/cometmoor/src/control/planner/unfenced.rs
@@ -180,13 +180,13 @@
             let since = self.answered_since.get(artifact);
             since.is_some_and(|since| clock::elapsed(*since) >= DUPLICATE_WINDOW)
         };
-        let mut next = stored.record.settle(is_over);
+        let mut next = stored.record.drop_answered_loads(is_over);
         if self.unrecorded_copies {
-            next = next.note_unanswered();
+            next = next.mark_unanswered();
         }
         next = next
             .at_incarnation(incarnation, &self.planner)
-            .release(|planner| *planner == self.planner || ended(planner))
+            .release_planners(|planner| *planner == self.planner || ended(planner))
             .adopt_open_order(&self.planner);
         if next != stored.record {
             self.write_record(store, next).await?;
@@ -230,7 +230,7 @@
             Err(_) if open.unanswered_copies => {}
             Err(_) => {
                 self.unrecorded_copies = true;
-                self.write_record(store, record.note_unanswered()).await?;
+                self.write_record(store, record.mark_unanswered()).await?;
                 self.unrecorded_copies = false;
             }
         }
--- a/crates/cometmoor/src/traffic/dispatcher.rs
+++ b/crates/cometmoor/src/traffic/dispatcher.rs
@@ -78,7 +78,7 @@
         let now = self.clock.now();
         let (ticket, receiver) = {
             let mut state = self.lock();
-            let (arrival, decisions) = state.admission.arrive(request, now, &mut rand::rng());
+            let (arrival, decisions) = state.admission.submit(request, now, &mut rand::rng());
             state.announce(decisions, self);
             match arrival {
                 Arrival::Dispatched(slot) => return Ok(SlotGuard::new(self.clone(), slot)),
@@ -123,7 +123,7 @@
             AttemptEnd::Success => state.admission.breaker(engine).record_success(),
             AttemptEnd::Failure => state.admission.breaker(engine).record_failure(now),
             AttemptEnd::Abandoned => state.admission.breaker(engine).record_abandoned(),
-            AttemptEnd::Leaving => state.admission.note_leaving(engine),
+            AttemptEnd::Leaving => state.admission.mark_leaving(engine),
         }
     }
 
--- a/crates/cometmoor/src/traffic/idempotent.rs
+++ b/crates/cometmoor/src/traffic/idempotent.rs
@@ -4,7 +4,7 @@
 
 use actix_web::HttpRequest;
 use actix_web::http::StatusCode;
-use cometmoor_core::idempotency::{Begin, Finish, KeyError, KeyPrefix, StoredAnswer};
+use cometmoor_core::idempotency::{BeginOutcome, KeyError, KeyPrefix, RunOutcome, StoredAnswer};
 use cometmoor_core::membership::{Issuer, Member, Membership};
 use cometmoor_protocol::error::{Outcome, Step};
 use xxhash_rust::xxh3::Xxh3;
@@ -51,7 +51,7 @@
     };
     let key = header.to_str().map_err(|_| bad_key("the key is not plain text"))?;
     let system = &worker.node.settings.system;
-    let prefix = KeyPrefix::of_key(key, system).map_err(|error| {
+    let prefix = KeyPrefix::from_key(key, system).map_err(|error| {
         bad_key(match error {
             KeyError::Malformed => "the key does not start with a prefix of the directory",
             KeyError::ForeignSystem => "the key's prefix is of another system",
@@ -84,32 +84,36 @@
     match worker.node.keys.begin(&key.key, &key.prefix, key.fingerprint) {
         KeyedRequest::Run(log) => Ok(KeyedAnswer::Start(log)),
         KeyedRequest::Join(log) => Ok(KeyedAnswer::Join(log)),
-        KeyedRequest::Decided(Begin::Replay(answer)) => Ok(KeyedAnswer::Replay(answer)),
+        KeyedRequest::Decided(BeginOutcome::Replay(answer)) => Ok(KeyedAnswer::Replay(answer)),
         KeyedRequest::Decided(decided) => Err(refusal(worker, &decided)),
         KeyedRequest::Elsewhere(issuer) => holder(worker, request, &issuer),
     }
 }
 
 /// Why a key was refused, with what the table knows of it.
-fn refusal(worker: &Worker, decided: &Begin) -> RequestError {
+fn refusal(worker: &Worker, decided: &BeginOutcome) -> RequestError {
     let (status, outcome, message) = match decided {
-        Begin::Expired { certainly_not_run: true } => {
+        BeginOutcome::Expired { certainly_not_run: true } => {
             (StatusCode::GONE, Outcome::NotRun, "the key has expired; it was never run")
         }
-        Begin::Expired { certainly_not_run: false } => {
+        BeginOutcome::Expired { certainly_not_run: false } => {
             (StatusCode::GONE, Outcome::Unknown, "the key has expired")
         }
-        Begin::DifferentRequest => (
+        BeginOutcome::DifferentRequest => (
             StatusCode::UNPROCESSABLE_ENTITY,
             Outcome::NotRun,
             "the key was used for another request; this one was not run",
         ),
-        Begin::Full => (StatusCode::TOO_MANY_REQUESTS, Outcome::NotRun, "no room for another key"),
+        BeginOutcome::Full => {
+            (StatusCode::TOO_MANY_REQUESTS, Outcome::NotRun, "no room for another key")
+        }
         _ => (StatusCode::CONFLICT, Outcome::Unknown, "the request may have been run"),
     };
     let error = RequestError::new(status, Step::Idempotency, outcome, message);
     match decided {
-        Begin::Full => error.retry_after(millis(worker.node.settings.timing.queue_wait_millis)),
+        BeginOutcome::Full => {
+            error.retry_after(millis(worker.node.settings.timing.queue_wait_millis))
+        }
         _ => error,
     }
 }
@@ -145,9 +149,9 @@
     end: Result<StoredAnswer, RequestError>,
 ) {
     let finish = match &end {
-        Ok(answer) => Finish::Complete(answer.clone()),
-        Err(error) if error.detail.outcome == Outcome::NotRun => Finish::NotRun,
-        Err(_) => Finish::Unknown,
+        Ok(answer) => RunOutcome::Complete(answer.clone()),
+        Err(error) if error.detail.outcome == Outcome::NotRun => RunOutcome::NotRun,
+        Err(_) => RunOutcome::Unknown,
     };
     worker.node.keys.finish(&key.key, &key.prefix, finish);
     log.end(end.map(|_| ()));
--- a/crates/cometmoor/src/traffic/keys.rs
+++ b/crates/cometmoor/src/traffic/keys.rs
@@ -3,7 +3,9 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use cometmoor_core::idempotency::{Begin, Finish, IdempotencyLimits, IdempotencyTable, KeyPrefix};
+use cometmoor_core::idempotency::{
+    BeginOutcome, IdempotencyLimits, IdempotencyTable, KeyPrefix, RunOutcome,
+};
 use cometmoor_core::membership::Issuer;
 use cometmoor_core::time::Timestamp;
 
@@ -47,7 +49,7 @@
     /// Read the answer of the run that is under way.
     Join(Arc<RunLog>),
     /// The table has decided.
-    Decided(Begin),
+    Decided(BeginOutcome),
     /// Another node answers for the key.
     Elsewhere(Issuer),
 }
@@ -100,22 +102,22 @@
         };
         let issuer_now = held.time(now);
         match held.table.begin(key, prefix.expires_at, fingerprint, issuer_now) {
-            Begin::Run => {
+            BeginOutcome::Run => {
                 let log = Arc::new(RunLog::default());
                 state.runs.insert(key.to_owned(), log.clone());
                 KeyedRequest::Run(log)
             }
-            Begin::AlreadyRunning => match state.runs.get(key) {
+            BeginOutcome::AlreadyRunning => match state.runs.get(key) {
                 Some(log) => KeyedRequest::Join(log.clone()),
-                None => KeyedRequest::Decided(Begin::Unknown),
+                None => KeyedRequest::Decided(BeginOutcome::Unknown),
             },
-            Begin::Closed => KeyedRequest::Elsewhere(issuer),
+            BeginOutcome::Closed => KeyedRequest::Elsewhere(issuer),
             decided => KeyedRequest::Decided(decided),
         }
     }
 
     /// Notes how the run of a key ended.
-    pub fn finish(&self, key: &str, prefix: &KeyPrefix, finish: Finish) {
+    pub fn finish(&self, key: &str, prefix: &KeyPrefix, finish: RunOutcome) {
         let issuer = Issuer { node: prefix.node.clone(), incarnation: prefix.incarnation };
         let mut state = self.lock();
         state.runs.remove(key);
