--- a/crates/cometmoor-core/src/gateway/admission.rs
+++ b/crates/cometmoor-core/src/gateway/admission.rs
@@ -1,68 +1,69 @@
-//! Whether a request that found no server waits or is refused, and when a
-//! refused client should come back.
+//! Whether a request that no server can take right now is queued or refused, and the delay
+//! after which a refused client should retry.
 
 use std::time::Duration;
 
-/// Part of the objective within which a refusal must be given to be of use.
-const PROMPT_REFUSAL_PART: u32 = 4;
-/// Least time that a request may wait for a server.
-const SHORTEST_WAIT: Duration = Duration::from_millis(20);
-/// Longest time that a request may wait for a server.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
-/// When a client should come back that no server could take: models and servers
-/// take seconds to come. It is cut to what the client would wait.
+/// A refusal has to be given within the objective divided by this to be of use to the client.
+const REFUSAL_OBJECTIVE_DIVISOR: u32 = 4;
+/// Lower limit on the time that a request may wait for a server.
+const MIN_QUEUE_WAIT: Duration = Duration::from_millis(20);
+/// Upper limit on the time that a request may wait for a server.
+const MAX_QUEUE_WAIT: Duration = Duration::from_secs(2);
+/// Retry delay for a client whose request no server could take, because models and servers
+/// take seconds to become ready. [`cap_retry_after`] limits it by the client's deadline.
 pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(10);
-/// Pause between two looks for a server that can take a waiting request.
+/// Interval at which a queued request looks for a server that can take it.
 pub const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Part of the time left within which a client still comes back.
-const COME_BACK_PART: u32 = 3;
+/// A client is told to retry within its remaining time divided by this, while it is still
+/// likely to do so.
+const RETRY_AFTER_DIVISOR: u32 = 3;
 
-/// How long a request may wait in the node for a server: a little less than
-/// a quarter of its objective, and never a large part of what time is left.
+/// Longest time that a request may be queued in the node for a server: a little less than
+/// a quarter of its objective, and at most half of the time left.
 pub fn max_queue_wait(objective: Duration, time_left: Duration) -> Duration {
-    let prompt = objective / PROMPT_REFUSAL_PART;
-    let wait = prompt.mul_f64(0.8).clamp(SHORTEST_WAIT, LONGEST_WAIT);
+    let prompt = objective / REFUSAL_OBJECTIVE_DIVISOR;
+    let wait = prompt.mul_f64(0.8).clamp(MIN_QUEUE_WAIT, MAX_QUEUE_WAIT);
     wait.min(time_left / 2)
 }
 
-/// Whether a request is worth sending to a server that would give the first
-/// byte after `expected`: not where it would come too late. What waits longer
-/// than its objective holds up others that could still be in time.
+/// Whether a server that is expected to send the first byte after `expected` would meet the
+/// objective and the deadline. A request that would miss its objective is not sent, because
+/// it delays others that could still meet theirs.
 pub fn can_answer_in_time(expected: Duration, objective: Duration, time_left: Duration) -> bool {
     expected <= objective.min(time_left)
 }
 
-/// Shortest time for which servers that are too busy stay so: until a batch of
-/// long answers has ended, or another copy is there. Of the callers who are told
-/// to come back then, a third fewer are refused again than after 1.5 s.
-const BUSY_FOR: Duration = Duration::from_secs(4);
+/// Lower limit on the retry delay while all servers are too busy. They stay busy until a batch
+/// of long answers ends or another replica of the model is loaded. A third fewer callers are
+/// refused again on their retry than with 1.5 s.
+const MIN_BUSY_RETRY_AFTER: Duration = Duration::from_secs(4);
 
-/// When a client should come back whose request would have waited `expected`:
-/// when enough of the queue is gone for it to be in time, and others do not
-/// fill it at once.
+/// Retry delay for a request that would have waited `expected` in the servers' queues: until
+/// enough of the queue is gone for it to be in time, with the lower limit so that retries do
+/// not refill the queue at once.
 pub fn retry_after_queue(expected: Duration, objective: Duration) -> Duration {
-    expected.saturating_sub(objective / 2).max(BUSY_FOR)
+    expected.saturating_sub(objective / 2).max(MIN_BUSY_RETRY_AFTER)
 }
 
-/// When a refused client should come back: at `ready_in`, but not later than
-/// it would still come.
+/// Limits a retry delay of `ready_in` to a third of the client's remaining time, because a
+/// client that is told to come back later than that is unlikely to do so.
 pub fn cap_retry_after(ready_in: Duration, time_left: Duration) -> Duration {
-    ready_in.min(time_left / COME_BACK_PART)
+    ready_in.min(time_left / RETRY_AFTER_DIVISOR)
 }
 
-/// Time for each token that a request allows for its answer within which all but
-/// few end: nine of 14,415 streams of seven played days took longer (628 with
-/// 16 ms). A refused client is served elsewhere a moment later; one that is cut
-/// loses its answer.
+/// Time that is allowed for each requested output token. Nearly all streams end within it: of
+/// 14,415 streams in seven simulated days, nine took longer (628 with 16 ms). The estimate is
+/// high on purpose: a refused client is served by another node a moment later, while a client
+/// whose stream is cut off loses its answer.
 const PER_OUTPUT_TOKEN: Duration = Duration::from_millis(60);
-/// Time for the rest of an answer.
-const FIXED_PART: Duration = Duration::from_millis(600);
-/// Time from the begin of a planned stop within which requests are taken that
-/// may not be finished.
-const STOP_ACCEPTS: Duration = Duration::from_millis(2500);
+/// Time that is allowed for an answer in addition to its output tokens.
+const FIXED_ANSWER_TIME: Duration = Duration::from_millis(600);
+/// Time after the start of a planned shutdown during which requests are accepted even if they
+/// may not finish, because clients may not know yet that the node is leaving.
+const SHUTDOWN_ACCEPT_WINDOW: Duration = Duration::from_millis(2500);
 
-/// Whether a node that is about to stop takes a request: it must be able to
-/// finish it, unless clients cannot yet know that it is leaving.
+/// Whether a node that is shutting down accepts a request: it has to be able to finish it,
+/// unless the shutdown began so recently that clients may not know of it yet.
 pub fn finishes_before_stop(
     since_begin: Duration,
     until_end: Duration,
@@ -70,6 +71,6 @@
     output_tokens: u64,
 ) -> bool {
     let tokens = u32::try_from(output_tokens).unwrap_or(u32::MAX);
-    let estimate = PER_OUTPUT_TOKEN.saturating_mul(tokens).saturating_add(FIXED_PART);
-    since_begin < STOP_ACCEPTS || estimate.min(time_left) < until_end
+    let estimate = PER_OUTPUT_TOKEN.saturating_mul(tokens).saturating_add(FIXED_ANSWER_TIME);
+    since_begin < SHUTDOWN_ACCEPT_WINDOW || estimate.min(time_left) < until_end
 }
--- a/crates/cometmoor-core/src/gateway/attempts.rs
+++ b/crates/cometmoor-core/src/gateway/attempts.rs
@@ -1,4 +1,4 @@
-//! How far a request has come, and whether it may be sent to another server.
+//! Tracks the attempts of one request and decides whether it may be sent to another server.
 
 use super::configuration::RetryPolicy;
 
@@ -9,12 +9,12 @@
     Waiting,
     /// A server may have run it.
     Sent,
-    /// The client has a part of its answer.
+    /// The client has received part of the response.
     Responding,
 }
 
 impl Progress {
-    /// The step, for log lines.
+    /// Value of the `step` field of log lines.
     pub fn step(self) -> &'static str {
         match self {
             Progress::Waiting => "queue",
@@ -24,34 +24,35 @@
     }
 }
 
-/// Why a send did not bring a whole answer.
+/// Why an attempt did not return a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendFailure {
-    /// The server said that it did not run the request.
+    /// The server reported that it did not run the request.
     NotRun,
-    /// The connection broke after the request was written.
+    /// The connection was lost after the request was written.
     ConnectionLost,
-    /// The server answered with a failure of its own.
+    /// The server responded with a server error.
     ServerError,
-    /// The stream broke off after events went to the client.
+    /// The stream ended early, after events had been sent to the client.
     StreamInterrupted,
 }
 
-/// The sends of one request.
+/// The attempts of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
     retry_policy: RetryPolicy,
-    most: u32,
+    max_sends: u32,
     sends: u32,
     progress: Progress,
-    before_send: Progress,
+    /// Restored if it turns out that the server did not run the request.
+    progress_before_send: Progress,
 }
 
 impl Attempts {
-    /// A request that was not sent yet, which may go to `most` servers.
-    pub fn new(retry_policy: RetryPolicy, most: u32) -> Attempts {
+    /// A request that has not been sent and may be sent to at most `max_sends` servers.
+    pub fn new(retry_policy: RetryPolicy, max_sends: u32) -> Attempts {
         let progress = Progress::Waiting;
-        Attempts { retry_policy, most, sends: 0, progress, before_send: progress }
+        Attempts { retry_policy, max_sends, sends: 0, progress, progress_before_send: progress }
     }
 
     /// How far the request has come.
@@ -59,48 +60,49 @@
         self.progress
     }
 
-    /// Servers that it was sent to.
+    /// Number of servers that it was sent to, without those that received no byte of it.
     pub fn sends(&self) -> u32 {
         self.sends
     }
 
-    /// Notes that the request is about to be written.
+    /// Records that the request is about to be written to a server.
     pub fn begin_send(&mut self) {
-        self.before_send = self.progress;
+        self.progress_before_send = self.progress;
         self.progress = Progress::Sent;
         self.sends += 1;
     }
 
-    /// Notes that no byte of it left.
+    /// Records that no byte of the request was sent. The attempt does not count.
     pub fn record_not_sent(&mut self) {
-        self.progress = self.before_send;
+        self.progress = self.progress_before_send;
         self.sends -= 1;
     }
 
-    /// Notes that the server said that it did not run it.
+    /// Records that the server reported not to have run the request. The attempt counts.
     pub fn record_not_run(&mut self) {
-        self.progress = self.before_send;
+        self.progress = self.progress_before_send;
     }
 
-    /// Notes that a part of the answer goes to the client.
+    /// Records that part of the response is sent to the client.
     pub fn record_response_started(&mut self) {
         self.progress = Progress::Responding;
     }
 
-    /// Whether it may be sent to another server after the failure, as far as
-    /// its route is concerned.
+    /// Whether the retry policy and the maximum of attempts allow the request to be sent to
+    /// another server after this failure. The retry budget is not considered.
     pub fn can_retry(&self, failure: SendFailure) -> bool {
-        let repeatable = match failure {
+        let retryable = match failure {
             SendFailure::NotRun => true,
             SendFailure::ConnectionLost | SendFailure::ServerError => {
                 self.retry_policy.allows_rerun()
             }
             SendFailure::StreamInterrupted => self.retry_policy == RetryPolicy::ResumableStream,
         };
-        repeatable && self.sends < self.most
+        retryable && self.sends < self.max_sends
     }
 
-    /// Whether the client may be told that it has not run and will not.
+    /// Whether it is certain that no server has run the request, so that the client may be
+    /// told so.
     pub fn is_known_not_run(&self) -> bool {
         self.progress == Progress::Waiting
     }
--- a/crates/cometmoor-core/src/gateway/configuration.rs
+++ b/crates/cometmoor-core/src/gateway/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration of a gateway: routes, services and limits, and the one
-//! that is in force.
+//! The configuration of a gateway (routes, services, limits and tenants) and the version that
+//! is active.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,37 +7,37 @@
 
 use super::tenants::Tenants;
 
-/// What may be done with a request whose first attempt failed.
+/// How a request may be retried after an attempt that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// It may run more than once.
+    /// The request is idempotent and may run more than once.
     Idempotent,
-    /// It may run at most once.
+    /// The request may run at most once.
     Once,
-    /// A stream of events that may run at most once.
+    /// The response is an event stream, and the request may run at most once.
     Stream,
-    /// A stream of events that may go on at another server.
+    /// The response is an event stream that another server can resume.
     ResumableStream,
 }
 
 impl RetryPolicy {
-    /// Whether the answer is a stream of events.
+    /// Whether the response is an event stream.
     pub fn is_stream(self) -> bool {
         matches!(self, RetryPolicy::Stream | RetryPolicy::ResumableStream)
     }
 
-    /// Whether a request that may have run can be sent again.
+    /// Whether a request that may already have run can be sent again.
     pub fn allows_rerun(self) -> bool {
         matches!(self, RetryPolicy::Idempotent | RetryPolicy::ResumableStream)
     }
 }
 
-/// One of the services that a route's requests are split between.
+/// A weighted service among those that share a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     /// Name of the service.
     pub service: String,
-    /// Share of the requests, relative to the other targets.
+    /// Share of the requests relative to the route's other targets.
     pub weight: u32,
 }
 
@@ -46,99 +46,101 @@
 pub struct Route {
     /// Name of the route.
     pub name: String,
-    /// Host that the route belongs to, in lower case.
+    /// Host name that the route matches, in lower case.
     pub host: String,
-    /// Prefix of the paths; the longest one that fits wins.
+    /// Path prefix that the route matches; the longest matching prefix wins.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// How requests may be retried.
     pub retry_policy: RetryPolicy,
-    /// Longest time for which a request is held.
+    /// Time limit for a request.
     pub timeout: Duration,
-    /// Time within which an answer (a stream's first event) is wanted.
+    /// Latency objective of the response, or of the first event of a stream.
     pub objective: Duration,
-    /// Most servers that one request is sent to.
+    /// Maximum number of servers that one request is sent to.
     pub max_attempts: u32,
-    /// Longest pause between two events that keeps a stream in time.
+    /// Longest interval between two events with which a stream meets its target; `None` if it
+    /// has no target.
     pub event_interval_limit: Option<Duration>,
-    /// Rank, 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Whether its requests need no key.
+    /// Whether requests are accepted without a key.
     pub is_public: bool,
-    /// Services that answer.
+    /// Services that answer the requests.
     pub targets: Vec<Target>,
 }
 
 impl Route {
-    /// The service for a request, by a number drawn evenly from 0 to 2^64.
+    /// The service for a request, chosen by `draw`, which is uniform over all `u64` values. If
+    /// all weights are 0, the first service is chosen; `None` if there are no targets.
     pub fn target(&self, draw: u64) -> Option<&str> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
         if total == 0 {
             return self.targets.first().map(|target| target.service.as_str());
         }
-        let mut left = draw % total;
+        let mut remaining = draw % total;
         for target in &self.targets {
             let weight = u64::from(target.weight);
-            if left < weight {
+            if remaining < weight {
                 return Some(&target.service);
             }
-            left -= weight;
+            remaining -= weight;
         }
         None
     }
 }
 
-/// What the names of adapters begin with; a number from 1 follows.
+/// Prefix of adapter names; a number from 1 follows.
 const ADAPTER_PREFIX: &str = "a";
 
-/// A model that a service's engines may hold.
+/// A model that the engines of a service can load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelProfile {
     /// Name of the model.
     pub name: String,
-    /// Size of its weights, in megabytes.
+    /// Size of the weights, in megabytes.
     pub weights_megabytes: f64,
-    /// Number of its adapters.
+    /// Number of adapters of the model.
     pub adapters: u32,
     /// Size of an adapter, in megabytes.
     pub adapter_megabytes: f64,
-    /// Time of a load from the weight store.
+    /// Load time from the weight store.
     pub store_load_time: Duration,
-    /// Time of a load from the server's disk.
+    /// Load time from a copy on the server's disk.
     pub disk_load_time: Duration,
-    /// Time of a load from the server's memory.
+    /// Load time from a copy in the server's host memory.
     pub memory_load_time: Duration,
 }
 
-/// What the engines of a service are like.
+/// Properties of the engines of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineProfile {
-    /// Models that the service serves.
+    /// Models that the service offers.
     pub models: Vec<ModelProfile>,
-    /// Memory for weights and adapters on a server, in megabytes.
+    /// Accelerator memory for weights and adapters on each server, in megabytes.
     pub weights_megabytes: f64,
-    /// Adapters that a server can hold.
+    /// Number of adapters that a server can have loaded.
     pub adapter_slots: u32,
-    /// Requests that run at once on a server.
+    /// Number of requests that a server runs concurrently.
     pub batch_slots: u32,
-    /// Tokens that a server's cache holds.
+    /// Capacity of a server's cache, in tokens.
     pub cache_tokens: u64,
-    /// Loads a second that the weight store allows over all servers.
+    /// Loads per second that the weight store allows, over all servers.
     pub loads_per_second: f64,
-    /// Weight copies that a server keeps in host memory, in megabytes.
+    /// Capacity for copies of weights in a server's host memory, in megabytes.
     pub host_cache_megabytes: f64,
-    /// Weight copies that a server keeps on disk, in megabytes.
+    /// Capacity for copies of weights on a server's disk, in megabytes.
     pub disk_cache_megabytes: f64,
-    /// Whether servers copy the memory of a run to one another.
+    /// Whether servers can migrate a running request by copying its memory to another server.
     pub supports_run_migration: bool,
 }
 
 impl ModelProfile {
-    /// Name of the adapter with a number from 1.
+    /// Name of the adapter with this number; numbers start at 1.
     pub fn adapter_name(&self, number: u32) -> String {
         format!("{ADAPTER_PREFIX}{number}")
     }
 
-    /// Number of the adapter with a name.
+    /// Number of the adapter with this name; `None` if the model has no such adapter.
     pub fn adapter_number(&self, name: &str) -> Option<u32> {
         let number = name.strip_prefix(ADAPTER_PREFIX)?.parse().ok()?;
         (1..=self.adapters).contains(&number).then_some(number)
@@ -146,34 +148,35 @@
 }
 
 impl EngineProfile {
-    /// Memory on each server that is kept for adapters, in megabytes.
+    /// Memory reserved for adapters on each server, in megabytes: every slot can take the largest
+    /// adapter.
     pub fn adapter_reserve(&self) -> f64 {
         let largest = self.models.iter().map(|model| model.adapter_megabytes).fold(0.0, f64::max);
         largest * f64::from(self.adapter_slots)
     }
 }
 
-/// A service: servers that answer the same requests.
+/// A group of servers that answer the same requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Name of the service.
     pub name: String,
-    /// Connections that one of its servers takes from all callers together.
+    /// Number of connections that each server accepts from all clients together.
     pub max_connections: u32,
-    /// Set where the servers are model engines.
+    /// Properties of the model engines; `None` for a plain service.
     pub engine: Option<EngineProfile>,
 }
 
-/// Bounds on what clients may send.
+/// Limits on client connections and requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for the head of a request.
+    /// Time limit for receiving a request head.
     pub header_timeout: Duration,
-    /// Longest rest of a kept connection.
+    /// Time after which an idle persistent connection is closed.
     pub idle_timeout: Duration,
 }
 
@@ -188,30 +191,30 @@
     }
 }
 
-/// A whole configuration.
+/// A complete configuration of a gateway.
 #[derive(Clone, Debug, Default)]
 pub struct GatewayConfiguration {
     /// Version; later ones are higher.
     pub version: u64,
     /// Services by name.
     pub services: HashMap<String, Arc<Service>>,
-    /// Bounds on clients.
+    /// Limits for clients.
     pub limits: ClientLimits,
-    /// Tenants; none where callers need no keys.
+    /// Tenants; `None` if clients need no keys.
     pub tenants: Option<Arc<Tenants>>,
     routes: HashMap<String, Vec<Arc<Route>>>,
-    event_pauses: HashMap<String, Duration>,
+    event_interval_limits: HashMap<String, Duration>,
 }
 
 impl GatewayConfiguration {
-    /// Builds a configuration.
+    /// Builds a configuration without tenants.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
         services: Vec<Service>,
         limits: ClientLimits,
     ) -> GatewayConfiguration {
-        let event_pauses = shortest_pauses(&routes);
+        let event_interval_limits = shortest_event_interval_limits(&routes);
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
             by_host.entry(route.host.clone()).or_default().push(Arc::new(route));
@@ -222,54 +225,60 @@
         let services =
             services.into_iter().map(|service| (service.name.clone(), Arc::new(service))).collect();
         let tenants = None;
-        GatewayConfiguration { version, services, limits, tenants, routes: by_host, event_pauses }
+        GatewayConfiguration {
+            version,
+            services,
+            limits,
+            tenants,
+            routes: by_host,
+            event_interval_limits,
+        }
     }
 
-    /// The same with tenants, whose keys callers need from then on.
+    /// Adds tenants. With tenants, clients need a key for routes that are not public.
     pub fn with_tenants(mut self, tenants: Tenants) -> GatewayConfiguration {
         self.tenants = Some(Arc::new(tenants));
         self
     }
 
-    /// The route of a request: the longest prefix of the path among the
-    /// routes of the host.
+    /// The route of a request: the one with the longest matching path prefix among the routes of
+    /// the host. `None` if no route matches.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(host)?;
         routes.iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Shortest of the pauses that keep the streams of a service's routes in
-    /// time; none where no route tells one.
+    /// The shortest event interval limit of the routes to a service; `None` if no route has one.
     pub fn shortest_event_interval_limit(&self, service: &str) -> Option<Duration> {
-        self.event_pauses.get(service).copied()
+        self.event_interval_limits.get(service).copied()
     }
 
-    /// Number of routes.
+    /// Number of routes over all hosts.
     pub fn route_count(&self) -> usize {
         self.routes.values().map(Vec::len).sum()
     }
 }
 
-fn shortest_pauses(routes: &[Route]) -> HashMap<String, Duration> {
-    let mut pauses: HashMap<String, Duration> = HashMap::new();
+fn shortest_event_interval_limits(routes: &[Route]) -> HashMap<String, Duration> {
+    let mut limits: HashMap<String, Duration> = HashMap::new();
     for route in routes {
-        let Some(pause) = route.event_interval_limit else { continue };
+        let Some(limit) = route.event_interval_limit else { continue };
         for target in &route.targets {
-            let known = pauses.entry(target.service.clone()).or_insert(pause);
-            *known = pause.min(*known);
+            let shortest = limits.entry(target.service.clone()).or_insert(limit);
+            *shortest = limit.min(*shortest);
         }
     }
-    pauses
+    limits
 }
 
-/// The configuration in force; its version only rises.
+/// The active configuration. Its version only increases.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveConfiguration {
     current: Option<Arc<GatewayConfiguration>>,
 }
 
 impl ActiveConfiguration {
-    /// Takes a configuration if it is newer; tells whether it was taken.
+    /// Activates a configuration if it is newer than the active one, and returns whether it was.
     pub fn offer(&mut self, configuration: Arc<GatewayConfiguration>) -> bool {
         if configuration.version <= self.version() {
             return false;
@@ -278,12 +287,12 @@
         true
     }
 
-    /// Version in force, 0 where there is none.
+    /// The active version; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.current.as_ref().map_or(0, |configuration| configuration.version)
     }
 
-    /// The configuration in force.
+    /// The active configuration; `None` before the first one.
     pub fn get(&self) -> Option<&Arc<GatewayConfiguration>> {
         self.current.as_ref()
     }
--- a/crates/cometmoor-core/src/gateway/demand.rs
+++ b/crates/cometmoor-core/src/gateway/demand.rs
@@ -1,4 +1,4 @@
-//! How much is asked for a second, from counters that only rise.
+//! Demand per second, measured from counters that only increase.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -6,23 +6,24 @@
 
 use crate::time::Timestamp;
 
-/// Time over which a rate is averaged.
-const SPAN: Duration = Duration::from_millis(2500);
+/// Time constant of the exponentially weighted average.
+const AVERAGING_TIME: Duration = Duration::from_millis(2500);
 
 #[derive(Clone, Copy, Debug)]
 struct Rate {
     per_second: f64,
-    noted: Timestamp,
+    updated_at: Timestamp,
 }
 
 impl Rate {
+    /// The rate at `now`, decayed since the last update.
     fn at(&self, now: Timestamp) -> f64 {
-        let spans = now.since(self.noted).as_secs_f64() / SPAN.as_secs_f64();
-        self.per_second * (-spans).exp()
+        let elapsed = now.since(self.updated_at).as_secs_f64() / AVERAGING_TIME.as_secs_f64();
+        self.per_second * (-elapsed).exp()
     }
 }
 
-/// Rates by key.
+/// Exponentially weighted rates by key.
 #[derive(Clone, Debug)]
 pub struct DemandMeter<Key> {
     rates: HashMap<Key, Rate>,
@@ -35,14 +36,14 @@
 }
 
 impl<Key: Copy + Eq + Hash> DemandMeter<Key> {
-    /// Notes an amount.
+    /// Adds an amount that was counted at `now`.
     pub fn record(&mut self, key: Key, amount: f64, now: Timestamp) {
-        let rate = self.rates.entry(key).or_insert(Rate { per_second: 0.0, noted: now });
-        rate.per_second = rate.at(now) + amount / SPAN.as_secs_f64();
-        rate.noted = now;
+        let rate = self.rates.entry(key).or_insert(Rate { per_second: 0.0, updated_at: now });
+        rate.per_second = rate.at(now) + amount / AVERAGING_TIME.as_secs_f64();
+        rate.updated_at = now;
     }
 
-    /// Amount a second.
+    /// Amount per second at `now`, 0 for a key without records.
     pub fn rate(&self, key: Key, now: Timestamp) -> f64 {
         self.rates.get(&key).map_or(0.0, |rate| rate.at(now))
     }
--- a/crates/cometmoor-core/src/gateway/mod.rs
+++ b/crates/cometmoor-core/src/gateway/mod.rs
@@ -1,6 +1,5 @@
-//! Decisions of a gateway node: which route a request takes, which server
-//! answers it, who may be tried again, who may order a server, and which
-//! server should hold which model.
+//! Decision logic of a gateway node: routing, server selection, retries, limits, leadership and
+//! the placement of models on servers.
 
 pub mod admission;
 pub mod attempts;
--- a/crates/cometmoor-core/src/gateway/orders.rs
+++ b/crates/cometmoor-core/src/gateway/orders.rs
@@ -1,11 +1,10 @@
-//! What a server holds and may come to hold by the orders it was sent.
+//! Tracks the orders sent to a server, and the weights that it holds or may hold because of them.
 //!
-//! A server counts the orders that it takes, and each order names the count
-//! that it expects. So one order at most follows a count: where an order has no
-//! answer, the same order is sent again with the same count until a report
-//! tells that the count has moved on. A copy of it that is carried out late
-//! finds another count and has no effect. Nothing else is ordered meanwhile, so
-//! that a server's memory is never promised twice.
+//! A server counts the orders that it accepts, and each order carries the count that it expects,
+//! so at most one order is accepted for each count. If an order gets no answer, the same order
+//! is sent again with the same count until a report shows that the count has increased. A copy
+//! that arrives late finds a different count and has no effect. No other order is sent in the
+//! meantime, so a server's memory is never allocated twice.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -17,17 +16,17 @@
 pub struct Weights {
     /// Name of the model.
     pub model: String,
-    /// Name of the adapter; none for the model itself.
+    /// Name of the adapter; `None` for the model itself.
     pub adapter: Option<String>,
 }
 
 impl Weights {
-    /// A model.
+    /// The weights of a model.
     pub fn model(name: &str) -> Weights {
         Weights { model: name.to_owned(), adapter: None }
     }
 
-    /// An adapter.
+    /// The weights of an adapter of a model.
     pub fn adapter(model: &str, adapter: &str) -> Weights {
         Weights { model: model.to_owned(), adapter: Some(adapter.to_owned()) }
     }
@@ -36,87 +35,89 @@
 /// What an order does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Brings weights into the accelerators' memory.
+    /// Loads weights into accelerator memory.
     Load,
-    /// Takes them out.
+    /// Removes weights from accelerator memory.
     Unload,
 }
 
-/// An order to a server.
+/// An order to load or unload weights on a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerOrder {
-    /// What it does.
+    /// Whether to load or to unload.
     pub action: Action,
-    /// To what.
+    /// The weights to load or unload.
     pub weights: Weights,
 }
 
 impl ServerOrder {
-    /// Whether it brings in an adapter.
+    /// Whether it loads an adapter.
     pub fn loads_adapter(&self) -> bool {
         self.action == Action::Load && self.weights.adapter.is_some()
     }
 
-    /// Whether it takes out an adapter.
+    /// Whether it unloads an adapter.
     pub fn unloads_adapter(&self) -> bool {
         self.action == Action::Unload && self.weights.adapter.is_some()
     }
 }
 
-/// An order that was sent.
+/// An order that was sent and is not known to be completed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Open {
+struct OpenOrder {
     order: ServerOrder,
     expected_count: u64,
-    /// How long the server is likely to be busy with it.
-    takes: Duration,
-    /// When an accepted order is likely to be done; none before it is accepted.
-    due: Option<Timestamp>,
+    /// Expected time for which the server is busy with it.
+    expected_duration: Duration,
+    /// Expected completion of an accepted order; `None` until it is accepted.
+    expected_end: Option<Timestamp>,
 }
 
-/// What a server tells of itself.
+/// A server's report of its state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerReport {
-    /// Orders that it has taken.
+    /// Number of orders that it has accepted.
     pub count: u64,
-    /// Whether an order is under way.
+    /// Whether it is executing an order.
     pub busy: bool,
-    /// What it holds, adapters under way included.
+    /// Weights that it holds, including adapters that are being loaded.
     pub held: BTreeSet<Weights>,
 }
 
-/// Time after which what the registry tells must agree with the last answer.
+/// Time since the last answer after which a registry entry that disagrees with the ledger is
+/// resolved by a report.
 const REGISTRY_LAG: Duration = Duration::from_secs(3);
-/// Time for which a report or an entry may be older than an order's answer.
+/// Time since the last answer within which a report or a registry entry may be older than the
+/// answer.
 const REPORT_LAG: Duration = Duration::from_millis(700);
-/// Time between two questions about an order that takes longer than expected.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(200);
+/// Interval between requests for a report on an order that takes longer than expected.
+const REPORT_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// One incarnation of a server, as the leader knows it.
+/// The leader's record of one incarnation of a server.
 #[derive(Clone, Debug, Default)]
 pub struct ServerLedger {
     count: Option<u64>,
-    open: Option<Open>,
+    open: Option<OpenOrder>,
     held: BTreeSet<Weights>,
     last_answer: Option<Timestamp>,
-    wants_report: bool,
+    needs_report: bool,
 }
 
-/// What to do with a server next.
+/// What the leader has to do next for a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Its count is not known, or an order is in doubt: ask it.
+    /// Request a report, because the count or the outcome of an order is unknown.
     RequestReport,
-    /// Send an order again whose answer was lost.
+    /// Send an order again because its answer was lost.
     Resend {
         /// The order.
         order: ServerOrder,
-        /// The count that it expects.
+        /// The count that the order expects.
         expected_count: u64,
     },
-    /// It carries out an order.
+    /// Wait while the server executes an order.
     Wait,
-    /// It can be ordered, with this expected count.
+    /// A new order can be sent, with this expected count.
     Idle {
         /// The count that the next order expects.
         expected_count: u64,
@@ -124,16 +125,16 @@
 }
 
 impl ServerLedger {
-    /// What to do next.
+    /// The next step at `now`.
     pub fn next_step(&self, now: Timestamp) -> NextStep {
-        if self.wants_report {
+        if self.needs_report {
             return NextStep::RequestReport;
         }
         match (&self.open, self.count) {
             (None, None) => NextStep::RequestReport,
             (None, Some(expected_count)) => NextStep::Idle { expected_count },
-            (Some(open), _) => match open.due {
-                Some(due) if now >= due => NextStep::RequestReport,
+            (Some(open), _) => match open.expected_end {
+                Some(end) if now >= end => NextStep::RequestReport,
                 Some(_) => NextStep::Wait,
                 None => NextStep::Resend {
                     order: open.order.clone(),
@@ -143,27 +144,33 @@
         }
     }
 
-    /// Notes that an order is sent for the first time. The server is likely to
-    /// be busy with it for as long as it `takes`.
-    pub fn record_sent(&mut self, order: &ServerOrder, expected_count: u64, takes: Duration) {
+    /// Records that an order is sent for the first time. The server is expected to be busy with
+    /// it for `expected_duration`.
+    pub fn record_sent(
+        &mut self,
+        order: &ServerOrder,
+        expected_count: u64,
+        expected_duration: Duration,
+    ) {
         let order = order.clone();
-        self.open = Some(Open { order, expected_count, takes, due: None });
+        self.open =
+            Some(OpenOrder { order, expected_count, expected_duration, expected_end: None });
     }
 
-    /// Notes that the server took the order. Adapters that come are there at
-    /// once, as far as memory is concerned.
+    /// Records that the server accepted the order. An adapter occupies its memory as soon as its
+    /// load is accepted, so that order counts as completed.
     pub fn record_accepted(&mut self, now: Timestamp) {
         self.last_answer = Some(now);
         let Some(open) = &mut self.open else { return };
-        open.due = Some(now + open.takes);
+        open.expected_end = Some(now + open.expected_duration);
         self.count = Some(open.expected_count + 1);
         if open.order.loads_adapter() {
             self.finish_open();
         }
     }
 
-    /// Notes that the order is done already. A server that takes an unused
-    /// adapter out at once says so too, and counts that order.
+    /// Records that the server reported the order as already done. A server also reports this if
+    /// it removes an unused adapter at once; it counts that order.
     pub fn record_already_done(&mut self, now: Timestamp) {
         self.last_answer = Some(now);
         if let Some(open) = self.open.take_if(|open| open.order.unloads_adapter()) {
@@ -173,13 +180,13 @@
         }
         self.finish_open();
         self.count = None;
-        self.wants_report = true;
+        self.needs_report = true;
     }
 
-    /// Notes that the order was refused, or that its answer was lost: only a
-    /// report tells whether it, or an earlier copy of it, was taken.
+    /// Records that the order was refused or that its answer was lost. Only a report shows whether
+    /// the order, or an earlier copy of it, was accepted.
     pub fn record_unknown_outcome(&mut self) {
-        self.wants_report = true;
+        self.needs_report = true;
     }
 
     fn finish_open(&mut self) {
@@ -200,72 +207,72 @@
         }
     }
 
-    /// Takes a report that was asked for. `asked` is when the question was
-    /// sent: a report that may be older than the last answer is not believed. A
-    /// report with the count that the last answer led to is newer than it.
-    pub fn record_report(&mut self, report: ServerReport, asked: Timestamp) {
-        let is_old = match self.count {
+    /// Applies a report that was requested at `requested_at`. A report that may be older than the
+    /// last answer is ignored; one with at least the count that followed from the last answer is
+    /// newer than it.
+    pub fn record_report(&mut self, report: ServerReport, requested_at: Timestamp) {
+        let is_stale = match self.count {
             Some(count) => report.count < count,
-            None => self.last_answer.is_some_and(|answer| asked.since(answer) < REPORT_LAG),
+            None => self.last_answer.is_some_and(|answer| requested_at.since(answer) < REPORT_LAG),
         };
-        if is_old {
+        if is_stale {
             return;
         }
-        let taken = self.open.as_ref().is_some_and(|open| report.count > open.expected_count);
-        if report.busy && !taken {
-            // Somebody else's order is under way; what it leads to is not known.
+        let accepted = self.open.as_ref().is_some_and(|open| report.count > open.expected_count);
+        if report.busy && !accepted {
+            // The server executes an order of another sender, whose effect is unknown.
             self.count = None;
-            self.wants_report = true;
+            self.needs_report = true;
             return;
         }
-        self.wants_report = false;
+        self.needs_report = false;
         self.count = Some(report.count);
         if report.busy {
-            self.mark_accepted(taken, asked);
+            self.mark_accepted(accepted, requested_at);
             return;
         }
-        if taken {
+        if accepted {
             self.open = None;
         }
         self.held = report.held;
     }
 
-    fn mark_accepted(&mut self, taken: bool, now: Timestamp) {
-        if let Some(open) = self.open.as_mut().filter(|_| taken) {
-            open.due = Some(now + ASK_AGAIN_AFTER);
+    fn mark_accepted(&mut self, accepted: bool, now: Timestamp) {
+        if let Some(open) = self.open.as_mut().filter(|_| accepted) {
+            open.expected_end = Some(now + REPORT_POLL_INTERVAL);
         }
     }
 
-    /// Takes what the registry tells of the models that the server holds,
-    /// unless it may be older than the last answer.
+    /// Applies the models that the server holds according to the registry, unless the entry may
+    /// be older than the last answer.
     pub fn record_registry(&mut self, models: &BTreeSet<String>, now: Timestamp) {
         if self.last_answer.is_some_and(|answer| now.since(answer) < REPORT_LAG) {
             return;
         }
         let finished = self.open.as_ref().is_some_and(|open| {
-            let there = models.contains(&open.order.weights.model);
-            open.due.is_some() && there == (open.order.action == Action::Load)
+            let is_present = models.contains(&open.order.weights.model);
+            open.expected_end.is_some() && is_present == (open.order.action == Action::Load)
         });
         if finished {
             self.finish_open();
         }
-        let differs = self.open.is_none() && self.count.is_some() && !self.agrees(models);
+        let differs = self.open.is_none() && self.count.is_some() && !self.matches_registry(models);
         let settled = self.last_answer.is_none_or(|answer| now.since(answer) > REGISTRY_LAG);
-        self.wants_report |= differs && settled;
+        self.needs_report |= differs && settled;
     }
 
-    fn agrees(&self, models: &BTreeSet<String>) -> bool {
+    fn matches_registry(&self, models: &BTreeSet<String>) -> bool {
         let own = self.held.iter().filter(|held| held.adapter.is_none()).map(|held| &held.model);
         own.eq(models.iter())
     }
 
-    /// What the server holds for certain.
+    /// Weights that the server is known to hold.
     pub fn held(&self) -> &BTreeSet<Weights> {
         &self.held
     }
 
-    /// What it holds or may come to hold: loads that are open count, unloads
-    /// that are open do not.
+    /// Weights that the server holds or may hold: the load of an open order is included, and the
+    /// weights of an open unload are not removed.
     pub fn reserved(&self) -> BTreeSet<Weights> {
         let mut reserved = self.held.clone();
         if let Some(open) = &self.open
@@ -276,18 +283,18 @@
         reserved
     }
 
-    /// Time until the open order is likely to be done.
+    /// Expected time until the open order is completed; zero if there is none.
     pub fn time_left(&self, now: Timestamp) -> Duration {
         let Some(open) = &self.open else { return Duration::ZERO };
-        open.due.map_or(open.takes, |due| due.since(now))
+        open.expected_end.map_or(open.expected_duration, |end| end.since(now))
     }
 
-    /// The order that is open.
+    /// The open order, if there is one.
     pub fn open_order(&self) -> Option<&ServerOrder> {
         self.open.as_ref().map(|open| &open.order)
     }
 
-    /// Whether a report has told what the server holds.
+    /// Whether the server's count, and therefore what it holds, is known.
     pub fn is_known(&self) -> bool {
         self.count.is_some()
     }
--- a/crates/cometmoor-core/src/gateway/selection.rs
+++ b/crates/cometmoor-core/src/gateway/selection.rs
@@ -1,32 +1,32 @@
-//! Which server gets a request: the one with the least expected time.
+//! Server selection: a request goes to the server with the lowest expected cost.
 //!
-//! The cost of a server is the time until it would give the first byte, in
-//! milliseconds: what waits there before the request, the request's own
-//! prompt, the slowdown of a full batch, and the way there. Requests that share
-//! leading parts of their prompt favour the same server (rendezvous hashing),
-//! so that it keeps those parts; load breaks the tie.
+//! The cost of a server is the expected time to the first byte in milliseconds: the work queued
+//! before the request, the prefill of its own prompt, the slowdown by requests that run or wait
+//! there, and the network path. Requests that share leading parts of their prompt prefer the
+//! same server (rendezvous hashing), so that it keeps those parts in its cache; load overrides
+//! that preference.
 
 /// What a node knows of a server that could answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Candidate {
     /// Requests at the server, from all nodes.
     pub in_flight: u32,
-    /// Time that it takes to read the prompts, from all nodes, whose first event
-    /// has not come, in milliseconds.
+    /// Prefill time of the prompts, from all nodes, that are processed before the request and
+    /// whose first event has not arrived, in milliseconds.
     pub pending_millis: f64,
-    /// The same for prompts of every urgency.
+    /// The same for prompts of every priority.
     pub backlog_millis: f64,
-    /// Requests that it works on at once.
+    /// Requests that the server processes concurrently.
     pub slots: u32,
-    /// Whether it stands in the node's zone.
+    /// Whether it is in the node's zone.
     pub same_zone: bool,
-    /// Whether the node has a connection to it that is not in use.
+    /// Whether the node has an idle connection to it.
     pub has_idle_connection: bool,
-    /// Failures in the recent past, as a share from 0 to 1.
+    /// Share of recent requests that failed, from 0 to 1.
     pub failure_share: f64,
     /// Rendezvous hash of the server and the leading parts of the prompt.
     pub affinity: u64,
-    /// Time saved by parts of the prompt that the server is believed to keep, in
+    /// Prefill time saved by parts of the prompt that the server is believed to have cached, in
     /// milliseconds.
     pub cached_millis: f64,
 }
@@ -34,51 +34,52 @@
 /// What a node knows of the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RequestProfile {
-    /// Time to read the prompt, in milliseconds; 0 for a plain request.
+    /// Prefill time of the prompt, in milliseconds; 0 for a request without a model.
     pub prefill_millis: f64,
-    /// Part of it for the leading parts that other requests share.
+    /// Part of it for the leading parts that are shared with other requests.
     pub shared_prefix_millis: f64,
-    /// Longest pause between two events that keeps the streams of the service
-    /// in time, in milliseconds; none where that does not matter.
+    /// Longest interval between two events with which the service's streams meet their target,
+    /// in milliseconds; `None` where there is no target.
     pub event_interval_limit_millis: Option<f64>,
-    /// Work that other nodes may have sent to a server and that is not known here yet,
-    /// in milliseconds: costs that differ by less do not tell servers apart.
+    /// Work that other nodes may have sent to a server without this node knowing of it yet, in
+    /// milliseconds. Smaller differences in cost do not distinguish servers.
     pub unreported_millis: f64,
 }
 
 impl RequestProfile {
-    /// Time to read what the server is not believed to keep of the prompt.
-    fn unread_millis(&self, candidate: &Candidate) -> f64 {
+    /// Prefill time of the parts of the prompt that the server is not believed to have cached.
+    fn uncached_millis(&self, candidate: &Candidate) -> f64 {
         (self.prefill_millis - candidate.cached_millis).max(0.0)
     }
 }
 
-/// Figures that costs are reckoned with, in milliseconds unless told.
+/// Weights of the cost function, in milliseconds unless stated otherwise.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CostModel {
-    /// Added by each request that runs.
+    /// Added for each request at the server.
     pub per_running: f64,
-    /// Added by each request beyond the server's slots.
+    /// Added for each request beyond the server's slots.
     pub per_waiting: f64,
-    /// Added where the server stands in another zone.
+    /// Added if the server is in another zone.
     pub other_zone: f64,
-    /// Added where a connection has to be opened: it takes time, and servers
-    /// have only so many.
+    /// Added if a connection has to be opened: that takes time, and servers limit the number of
+    /// their connections.
     pub new_connection: f64,
-    /// Added by a server all of whose recent answers failed.
+    /// Added in full if all recent requests to the server failed, otherwise in proportion.
     pub failing: f64,
-    /// Added for each running stream and each millisecond of prompts beyond
-    /// what its pauses bear.
+    /// Added for each running stream and each millisecond of prefill beyond what the stream's
+    /// event interval allows.
     pub per_delayed_stream: f64,
-    /// Costs that differ by no more do not tell servers apart. An open connection lasts, and
-    /// whoever has it by chance would get every request of a lightly loaded node.
+    /// Costs that differ by no more than this are treated as equal. Otherwise the node's open
+    /// connections would decide: they are long-lived, so a server that happens to have one would
+    /// receive every request of a lightly loaded node.
     pub tie_margin: f64,
 }
 
-/// Share of the longest pause that servers may spend on prompts; the rest is
-/// for the tokens of one event. Mean worth of played days: at 0.6 one deployment
-/// of three loses 0.01, at 0.85 none does.
-const READING_SHARE_OF_PAUSE: f64 = 0.85;
+/// Share of the event interval limit that servers may spend on prefill; the rest is for
+/// generating the tokens of one event. In simulated days, the mean score of one deployment of
+/// three drops by 0.01 with 0.6; with 0.85 that of none does.
+const PREFILL_SHARE_OF_INTERVAL: f64 = 0.85;
 
 impl CostModel {
     /// For model engines.
@@ -102,22 +103,22 @@
         tie_margin: 3.0,
     };
 
-    /// Milliseconds that are counted for the streams that run at a server and
-    /// would pause for too long. A server reads prompts between the tokens of
-    /// its streams, so prompts that wait for nearly the longest pause make all
-    /// of them late at once: one live stream in ten, on a calm day.
-    pub fn interference(&self, candidate: &Candidate, demand: &RequestProfile) -> f64 {
-        let Some(pause) = demand.event_interval_limit_millis else { return 0.0 };
-        let reading = candidate.backlog_millis + demand.unread_millis(candidate);
-        let excess = reading - pause * READING_SHARE_OF_PAUSE;
+    /// Cost of delaying the streams that run at a server, in milliseconds. A server prefills
+    /// prompts between the tokens of its streams, so a prefill backlog that is close to the
+    /// event interval limit delays all of its streams at once. Without this cost, one live
+    /// stream in ten was late on a day without faults.
+    pub fn interference(&self, candidate: &Candidate, request: &RequestProfile) -> f64 {
+        let Some(limit) = request.event_interval_limit_millis else { return 0.0 };
+        let prefill = candidate.backlog_millis + request.uncached_millis(candidate);
+        let excess = prefill - limit * PREFILL_SHARE_OF_INTERVAL;
         let streams = candidate.in_flight.min(candidate.slots);
         excess.max(0.0) * f64::from(streams) * self.per_delayed_stream
     }
 
-    /// Expected milliseconds until the first byte.
-    pub fn cost(&self, candidate: &Candidate, demand: &RequestProfile) -> f64 {
+    /// Expected time to the first byte, in milliseconds.
+    pub fn cost(&self, candidate: &Candidate, request: &RequestProfile) -> f64 {
         let waiting = candidate.in_flight.saturating_sub(candidate.slots);
-        let mut cost = candidate.pending_millis + demand.unread_millis(candidate);
+        let mut cost = candidate.pending_millis + request.uncached_millis(candidate);
         cost += self.per_running * f64::from(candidate.in_flight);
         cost += self.per_waiting * f64::from(waiting);
         if !candidate.same_zone {
@@ -130,40 +131,42 @@
     }
 }
 
-/// The server that was chosen.
+/// The selected server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
     /// Index among the candidates.
     pub index: usize,
-    /// Expected milliseconds until the first byte.
+    /// Expected time to the first byte, in milliseconds.
     pub cost: f64,
-    /// Whether streams that run there would pause for too long.
+    /// Whether the request would delay streams that run there beyond their event interval limit.
     pub delays_streams: bool,
 }
 
-/// The candidate with the least cost, interference with others included. The one
-/// with the highest affinity counts the shared parts as kept. Of those whose costs do
-/// not differ by more than what is not seen or does not matter, the one with the highest
-/// affinity wins: by it requests of many nodes spread, which would else all take the server that was
-/// told to be idle.
+/// Selects the candidate with the lowest cost, including interference with running streams;
+/// `None` if there are no candidates.
+///
+/// The candidate with the highest affinity is assumed to have the shared parts of the prompt
+/// cached. Among candidates whose costs differ by no more than the tie margin or the unreported
+/// work, the one with the highest affinity wins. That spreads the requests of many nodes, which
+/// would otherwise all go to the server that was last reported to be idle.
 pub fn select(
     candidates: &[Candidate],
-    demand: &RequestProfile,
+    request: &RequestProfile,
     model: &CostModel,
 ) -> Option<Choice> {
-    let favourite = (0..candidates.len()).max_by_key(|index| candidates[*index].affinity)?;
-    let reckoned = candidates.iter().enumerate().map(|(index, known)| {
+    let preferred = (0..candidates.len()).max_by_key(|index| candidates[*index].affinity)?;
+    let choices = candidates.iter().enumerate().map(|(index, known)| {
         let mut candidate = *known;
-        if index == favourite {
-            candidate.cached_millis = candidate.cached_millis.max(demand.shared_prefix_millis);
+        if index == preferred {
+            candidate.cached_millis = candidate.cached_millis.max(request.shared_prefix_millis);
         }
-        let cost = model.cost(&candidate, demand);
-        let interference = model.interference(&candidate, demand);
+        let cost = model.cost(&candidate, request);
+        let interference = model.interference(&candidate, request);
         (cost + interference, Choice { index, cost, delays_streams: interference > 0.0 })
     });
-    let reckoned: Vec<(f64, Choice)> = reckoned.collect();
-    let least = reckoned.iter().map(|(cost, _)| *cost).min_by(f64::total_cmp)?;
-    let tie_margin = model.tie_margin.max(demand.unreported_millis);
-    let alike = reckoned.into_iter().filter(|(cost, _)| *cost <= least + tie_margin);
-    alike.map(|(_, choice)| choice).max_by_key(|choice| candidates[choice.index].affinity)
+    let choices: Vec<(f64, Choice)> = choices.collect();
+    let lowest = choices.iter().map(|(cost, _)| *cost).min_by(f64::total_cmp)?;
+    let tie_margin = model.tie_margin.max(request.unreported_millis);
+    let tied = choices.into_iter().filter(|(cost, _)| *cost <= lowest + tie_margin);
+    tied.map(|(_, choice)| choice).max_by_key(|choice| candidates[choice.index].affinity)
 }
--- a/crates/cometmoor-core/src/gateway/tenants.rs
+++ b/crates/cometmoor-core/src/gateway/tenants.rs
@@ -1,24 +1,24 @@
-//! Tenants of a configuration: who may send, with which urgency, and how much.
+//! Tenants of a configuration: their keys, priorities and quotas.
 
 use std::sync::Arc;
 
 use super::configuration::Route;
 use crate::keys::{KeyCheck, KeyDigest, KeyFreshness, KeyRing, PresentedKey};
 
-/// What a limit is counted in.
+/// The unit of a quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaUnit {
-    /// Requests, each one alike.
+    /// Each request counts as 1.
     Requests,
-    /// Tokens of the prompt and of the longest answer together.
+    /// A request counts as its prompt tokens plus its maximum number of output tokens.
     Tokens {
-        /// What a request counts that names no tokens.
+        /// Tokens charged for a request that does not state a number of tokens.
         default_tokens: u64,
     },
 }
 
 impl QuotaUnit {
-    /// What a request counts that names so many tokens.
+    /// Cost of a request that states this number of tokens.
     pub fn cost(self, tokens: Option<u64>) -> u64 {
         match self {
             QuotaUnit::Requests => 1,
@@ -27,29 +27,29 @@
     }
 }
 
-/// How much a tenant may run on all nodes together.
+/// The rate limit of a tenant over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantLimit {
-    /// Amount a second.
+    /// Sustained rate, in units per second.
     pub per_second: f64,
-    /// Amount on top, at once.
+    /// Units that may be used at once in addition to the rate.
     pub burst: f64,
-    /// What both are counted in.
+    /// Unit of the rate and the burst.
     pub unit: QuotaUnit,
 }
 
-/// A tenant.
+/// A group of clients with its own keys, priority and rate limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, as servers are told it.
+    /// Name, as sent to servers.
     pub name: String,
-    /// Rank of its requests, 0 is the most urgent; none where that is the route's.
+    /// Priority of its requests, 0 is the most urgent; `None` to use the route's priority.
     pub priority: Option<u8>,
-    /// Its limit; none where it has none.
+    /// Rate limit; `None` if its requests are not limited.
     pub limit: Option<TenantLimit>,
 }
 
-/// The tenants of a configuration, by their keys.
+/// The tenants of a configuration, with their keys.
 #[derive(Clone, Debug, Default)]
 pub struct Tenants {
     all: Vec<Arc<Tenant>>,
@@ -57,14 +57,14 @@
 }
 
 impl Tenants {
-    /// Tenants with the digests of their keys.
+    /// Creates the set from tenants and the digests of their keys.
     pub fn new(tenants: Vec<(Tenant, Vec<KeyDigest>)>) -> Tenants {
         let tenants: Vec<(Arc<Tenant>, Vec<KeyDigest>)> =
             tenants.into_iter().map(|(tenant, keys)| (Arc::new(tenant), keys)).collect();
-        let held = tenants
+        let key_owners = tenants
             .iter()
             .flat_map(|(tenant, keys)| keys.iter().map(|digest| (*digest, tenant.clone())));
-        let keys = held.collect();
+        let keys = key_owners.collect();
         Tenants { all: tenants.into_iter().map(|(tenant, _)| tenant).collect(), keys }
     }
 
@@ -73,38 +73,38 @@
         &self.all
     }
 
-    /// Number of keys.
+    /// Number of keys of all tenants.
     pub fn key_count(&self) -> usize {
         self.keys.len()
     }
 
-    /// Decides on a key.
-    fn check(&self, key: PresentedKey, knowledge: KeyFreshness) -> KeyCheck<'_, Arc<Tenant>> {
-        self.keys.check(key, knowledge)
+    /// Looks up the tenant of a key.
+    fn check(&self, key: PresentedKey, freshness: KeyFreshness) -> KeyCheck<'_, Arc<Tenant>> {
+        self.keys.check(key, freshness)
     }
 }
 
-/// Whether a request may run, by the key that it carries.
+/// Result of the access check of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Access {
-    /// It may, as a request of this tenant, or of none.
+    /// The request may run, on behalf of this tenant or without a tenant.
     Granted(Option<Arc<Tenant>>),
-    /// Its key is nobody's.
+    /// The key belongs to no tenant.
     Denied,
-    /// The copy of the keys is too old to tell.
+    /// The node's copy of the keys is too old to decide.
     Undecided,
 }
 
-/// Decides whether a request of a route may run. Without tenants all may; on a public
-/// route those without a valid key run as requests of no tenant.
+/// Decides whether a request of a route may run. If the configuration has no tenants, every
+/// request may run. On a public route a request without a valid key runs without a tenant.
 pub fn access(
     tenants: Option<&Tenants>,
     route: &Route,
     key: PresentedKey,
-    knowledge: KeyFreshness,
+    freshness: KeyFreshness,
 ) -> Access {
     let Some(tenants) = tenants else { return Access::Granted(None) };
-    match tenants.check(key, knowledge) {
+    match tenants.check(key, freshness) {
         KeyCheck::Admitted(tenant) => Access::Granted(Some(tenant.clone())),
         _ if route.is_public => Access::Granted(None),
         KeyCheck::Unknown => Access::Denied,
--- a/crates/cometmoor-core/src/keys.rs
+++ b/crates/cometmoor-core/src/keys.rs
@@ -1,75 +1,76 @@
-//! Callers' keys: kept as digests, and decided on in one place.
+//! Client keys, stored as digests, and the check of a presented key.
 //!
-//! A key is compared by its digest only. Who wants to learn a known key from the time
-//! that a look-up takes would have to choose digests, which the hash does not let them.
+//! Keys are compared by their digests only. A timing attack on the lookup would require the
+//! attacker to choose digests, which the hash function prevents.
 
 use std::collections::HashMap;
 
 use sha2::{Digest, Sha256};
 
-/// Longest key that is looked up, in bytes; longer ones cannot have been handed out.
+/// Maximum length of a key, in bytes. Longer keys are never issued and are not looked up.
 const MAX_KEY_BYTES: usize = 256;
-/// Bytes of a digest that are kept: 128 bits do not meet by chance.
+/// Bytes of a digest that are kept. 128 bits are enough to rule out accidental collisions.
 const DIGEST_BYTES: usize = 16;
 
-/// SHA-256 of a key, cut to 128 bits.
+/// SHA-256 of a key, truncated to 128 bits.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
     /// The digest of a key.
     pub fn of(key: &[u8]) -> KeyDigest {
-        let whole: [u8; 32] = Sha256::digest(key).into();
-        KeyDigest::cut(&whole)
+        let full: [u8; 32] = Sha256::digest(key).into();
+        KeyDigest::truncate(&full)
     }
 
-    fn cut(whole: &[u8; 32]) -> KeyDigest {
+    fn truncate(full: &[u8; 32]) -> KeyDigest {
         let mut digest = [0; DIGEST_BYTES];
-        digest.copy_from_slice(&whole[..DIGEST_BYTES]);
+        digest.copy_from_slice(&full[..DIGEST_BYTES]);
         KeyDigest(digest)
     }
 
-    /// Reads a digest from hexadecimal digits, of the whole SHA-256 or of the part that is
-    /// kept.
+    /// Parses a digest in hexadecimal, either a full SHA-256 or its first 128 bits. `None` if the
+    /// text is neither.
     pub fn from_hex(text: &str) -> Option<KeyDigest> {
-        let is_known_length = text.len() == 2 * DIGEST_BYTES || text.len() == 64;
-        if !is_known_length || !text.bytes().all(|digit| digit.is_ascii_hexdigit()) {
+        let is_valid_length = text.len() == 2 * DIGEST_BYTES || text.len() == 64;
+        if !is_valid_length || !text.bytes().all(|digit| digit.is_ascii_hexdigit()) {
             return None;
         }
         let mut digest = [0; DIGEST_BYTES];
-        for (place, byte) in digest.iter_mut().enumerate() {
-            *byte = u8::from_str_radix(&text[2 * place..2 * place + 2], 16).ok()?;
+        for (index, byte) in digest.iter_mut().enumerate() {
+            *byte = u8::from_str_radix(&text[2 * index..2 * index + 2], 16).ok()?;
         }
         Some(KeyDigest(digest))
     }
 
-    /// The digest in hexadecimal digits.
+    /// The truncated digest in lower-case hexadecimal.
     pub fn to_hex(self) -> String {
         self.0.iter().map(|byte| format!("{byte:02x}")).collect()
     }
 }
 
 impl std::fmt::Debug for KeyDigest {
-    /// Keys may be short enough to be found from their digests, so none is shown.
+    /// Omits the digest: a short key could be recovered from it by brute force.
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str("KeyDigest")
     }
 }
 
-/// The key that came with a request.
+/// The key that a request presented.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PresentedKey {
-    /// There is none.
+    /// The request has no key.
     #[default]
     Missing,
-    /// There are several, or what is there cannot be a key.
+    /// The request has several keys, or a value that is not a valid key.
     Malformed,
-    /// One key.
+    /// The digest of the request's only key.
     Key(KeyDigest),
 }
 
 impl PresentedKey {
-    /// The key in the values of the header that carries it, of which there must be one.
+    /// Parses the values of the header that carries the key. There has to be exactly one value;
+    /// white space around it is ignored.
     pub fn from_values<'a>(mut values: impl Iterator<Item = &'a [u8]>) -> PresentedKey {
         match (values.next(), values.next()) {
             (None, _) => PresentedKey::Missing,
@@ -90,32 +91,33 @@
     }
 }
 
-/// What a node's copy of the keys is good for, by how lately it was shown to be the newest.
+/// What a node may decide by its copy of the keys, depending on how recently the copy was
+/// confirmed to be current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyFreshness {
-    /// A key in the copy may be admitted: it cannot have been taken away for long.
+    /// Whether a key in the copy may be admitted: if it was revoked, that was recent.
     pub admits: bool,
-    /// A key that is not in the copy may be rejected: it cannot have been added for long.
+    /// Whether a key that is not in the copy may be rejected: if it was added, that was recent.
     pub denies: bool,
 }
 
 impl KeyFreshness {
-    /// Of a copy that is the newest.
+    /// A copy that is current.
     pub const CURRENT: KeyFreshness = KeyFreshness { admits: true, denies: true };
 }
 
-/// What a key is good for.
+/// Result of the check of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyCheck<'a, Holder> {
-    /// It is the holder's.
+    /// The key belongs to this holder.
     Admitted(&'a Holder),
-    /// It is nobody's.
+    /// The key belongs to nobody.
     Unknown,
-    /// The copy of the keys is too old to tell.
+    /// The copy of the keys is too old to decide.
     Undecided,
 }
 
-/// The keys of a configuration, and who holds each.
+/// The keys of a configuration and their holders.
 #[derive(Clone, Debug)]
 pub struct KeyRing<Holder> {
     holders: HashMap<KeyDigest, Holder>,
@@ -134,15 +136,15 @@
 }
 
 impl<Holder> KeyRing<Holder> {
-    /// Decides on a key.
-    pub fn check(&self, key: PresentedKey, knowledge: KeyFreshness) -> KeyCheck<'_, Holder> {
+    /// Checks a key. A missing or malformed key is unknown, however old the copy is.
+    pub fn check(&self, key: PresentedKey, freshness: KeyFreshness) -> KeyCheck<'_, Holder> {
         let holder = match key {
             PresentedKey::Key(digest) => self.holders.get(&digest),
             PresentedKey::Missing | PresentedKey::Malformed => return KeyCheck::Unknown,
         };
         match holder {
-            Some(holder) if knowledge.admits => KeyCheck::Admitted(holder),
-            None if knowledge.denies => KeyCheck::Unknown,
+            Some(holder) if freshness.admits => KeyCheck::Admitted(holder),
+            None if freshness.denies => KeyCheck::Unknown,
             _ => KeyCheck::Undecided,
         }
     }
@@ -152,7 +154,7 @@
         self.holders.len()
     }
 
-    /// Whether there is no key.
+    /// Whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.holders.is_empty()
     }
--- a/crates/cometmoor-core/src/lib.rs
+++ b/crates/cometmoor-core/src/lib.rs
@@ -1,8 +1,8 @@
 //! Decision logic of cometmoor.
 //!
-//! Nothing in this crate reads a clock, a socket, a file or a random source:
-//! the time and random numbers are arguments, decisions are return values. The
-//! daemon, the property tests and the simulator all run this code.
+//! The crate performs no I/O and reads no clock or random source: times and random numbers are
+//! arguments, and decisions are return values. The daemon, the property tests and the simulator
+//! therefore run the same code.
 
 pub mod admission;
 pub mod catalog;
--- a/crates/cometmoor-core/src/retry.rs
+++ b/crates/cometmoor-core/src/retry.rs
@@ -1,30 +1,30 @@
-//! Limits on repeated attempts: a budget for the node, a breaker per engine.
+//! Limits on retries: a retry budget for the node and a circuit breaker for each engine.
 
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Limits the attempts beyond the first to a share of the requests.
+/// Limits retries to a share of the requests.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     share: f64,
-    most: f64,
+    max_credit: f64,
     credit: f64,
 }
 
 impl RetryBudget {
-    /// Each request earns `share` of a retry; at most `most` are saved up. A
-    /// new budget is full, so that a quiet node can retry.
-    pub fn new(share: f64, most: f64) -> RetryBudget {
-        RetryBudget { share, most, credit: most }
+    /// Each request adds `share` of a retry to the credit, which is limited to `max_credit`
+    /// retries. A new budget is full, so that a node with little traffic can retry.
+    pub fn new(share: f64, max_credit: f64) -> RetryBudget {
+        RetryBudget { share, max_credit, credit: max_credit }
     }
 
-    /// Notes a request's first attempt.
+    /// Records the first attempt of a request.
     pub fn record_request(&mut self) {
-        self.credit = (self.credit + self.share).min(self.most);
+        self.credit = (self.credit + self.share).min(self.max_credit);
     }
 
-    /// Takes one retry, if the budget allows it.
+    /// Spends one retry if the credit allows it; false if not.
     pub fn try_retry(&mut self) -> bool {
         if self.credit < 1.0 {
             return false;
@@ -34,55 +34,57 @@
     }
 }
 
-/// Consecutive failures that open a circuit.
+/// Number of consecutive failures that open the circuit.
 const FAILURES_TO_OPEN: u32 = 3;
-/// Pause after the circuit opened for the first time.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause between trials.
-const LONGEST_PAUSE: Duration = Duration::from_secs(15);
+/// Time until the first probe after the circuit opens. It doubles with each failed probe.
+const INITIAL_OPEN_TIME: Duration = Duration::from_millis(500);
+/// Upper limit on the time between probes.
+const MAX_OPEN_TIME: Duration = Duration::from_secs(15);
 
-/// Keeps requests away from an engine that fails, and tries it now and then.
+/// Circuit breaker: stops sending requests to a failing engine, except for single probes.
 #[derive(Clone, Debug, Default)]
 pub struct CircuitBreaker {
     failures: u32,
-    openings: u32,
-    closed_after: Option<Timestamp>,
-    trial_running: bool,
+    times_opened: u32,
+    /// When the next probe is allowed; `None` while the circuit is closed.
+    probe_after: Option<Timestamp>,
+    probe_in_flight: bool,
 }
 
 impl CircuitBreaker {
-    /// Whether a request may be sent.
+    /// Whether a request may be sent at `now`.
     pub fn allows(&self, now: Timestamp) -> bool {
-        match self.closed_after {
+        match self.probe_after {
             None => true,
-            Some(end) => now >= end && !self.trial_running,
+            Some(probe_after) => now >= probe_after && !self.probe_in_flight,
         }
     }
 
-    /// Notes that a request is sent; in an open circuit it is the trial.
+    /// Records that a request is sent; while the circuit is open it is the probe.
     pub fn record_attempt(&mut self) {
-        self.trial_running = self.closed_after.is_some();
+        self.probe_in_flight = self.probe_after.is_some();
     }
 
-    /// Notes an answer.
+    /// Records a response, which closes the circuit.
     pub fn record_success(&mut self) {
         *self = CircuitBreaker::default();
     }
 
-    /// Notes a failure to connect, a broken answer or a timeout.
+    /// Records a failed connection, an incomplete response or a timeout.
     pub fn record_failure(&mut self, now: Timestamp) {
         self.failures += 1;
-        self.trial_running = false;
+        self.probe_in_flight = false;
         if self.failures < FAILURES_TO_OPEN {
             return;
         }
-        let doubled = FIRST_PAUSE.saturating_mul(1 << self.openings.min(10));
-        self.openings += 1;
-        self.closed_after = Some(now + doubled.min(LONGEST_PAUSE));
+        let open_time = INITIAL_OPEN_TIME.saturating_mul(1 << self.times_opened.min(10));
+        self.times_opened += 1;
+        self.probe_after = Some(now + open_time.min(MAX_OPEN_TIME));
     }
 
-    /// Notes that the attempt ended without telling anything of the engine.
+    /// Records that an attempt ended without saying anything about the engine's health, for example
+    /// because the client left. The circuit keeps its state.
     pub fn record_abandoned(&mut self) {
-        self.trial_running = false;
+        self.probe_in_flight = false;
     }
 }
--- a/crates/cometmoor-core/src/routing.rs
+++ b/crates/cometmoor-core/src/routing.rs
@@ -1,4 +1,4 @@
-//! Which engines can answer a request, and the choice among them.
+//! The engines that can answer a request, and load balancing among them.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -10,32 +10,32 @@
 use crate::catalog::Resolved;
 use crate::time::Timestamp;
 
-/// An engine as requests see it.
+/// An engine as a target for requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineRoute {
-    /// Name of the engine.
+    /// Unique name of the engine.
     pub name: String,
-    /// Socket address.
+    /// Socket address that requests are sent to.
     pub address: String,
-    /// Zone.
+    /// Zone that it runs in.
     pub zone: String,
-    /// Incarnation at the newest report.
+    /// Incarnation, from the latest report.
     pub incarnation: u64,
-    /// Requests that this node may have running there.
+    /// Maximum number of requests that this node may have in flight there.
     pub node_limit: u32,
-    /// Requests that the engine generates at the same time.
+    /// Number of requests that the engine processes concurrently.
     pub concurrency: u32,
-    /// Requests running or waiting there, of all nodes, when it reported.
+    /// Requests of all nodes that were running or waiting there at the latest report.
     pub reported_load: u32,
-    /// When the report arrived.
+    /// When the latest report arrived.
     pub reported_at: Timestamp,
-    /// Whether the engine takes no new work.
+    /// Whether the engine is leaving and accepts no new requests.
     pub leaving: bool,
-    /// Artifacts that answer requests.
+    /// Artifacts that are loaded and ready to answer requests.
     pub ready: BTreeSet<Artifact>,
 }
 
-/// The routes of all artifacts; immutable once published.
+/// The engines and the artifacts that they are ready to serve; immutable once published.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     engines: BTreeMap<String, Arc<EngineRoute>>,
@@ -44,7 +44,7 @@
 }
 
 impl RouteTable {
-    /// A table of these engines. Leaving ones get no new requests.
+    /// Builds a table of these engines. Engines that are leaving get no new requests.
     pub fn new(engines: impl IntoIterator<Item = EngineRoute>) -> RouteTable {
         let mut table = RouteTable::default();
         for engine in engines {
@@ -65,24 +65,24 @@
         }
     }
 
-    /// An engine by name.
+    /// The engine with this name.
     pub fn engine(&self, name: &str) -> Option<&Arc<EngineRoute>> {
         self.engines.get(name)
     }
 
-    /// All engines by name.
+    /// All engines, ordered by name.
     pub fn engines(&self) -> impl Iterator<Item = &Arc<EngineRoute>> {
         self.engines.values()
     }
 
-    /// Number of engines that can answer with an artifact.
+    /// Number of engines that are ready to answer with an artifact.
     pub fn ready_replicas(&self, artifact: &Artifact) -> usize {
         self.by_artifact.get(artifact).map_or(0, Vec::len)
     }
 
-    /// The engines that can answer now, with the artifact that they answer
-    /// with. Another version serves a model's name while the current one is
-    /// not ready anywhere.
+    /// The engines that can answer now, and the artifact that they answer with. If the request
+    /// allows any version and the current one is not ready on any engine, the ready version that
+    /// sorts last is used.
     pub fn candidates(&self, resolved: &Resolved) -> (Artifact, Vec<&Arc<EngineRoute>>) {
         let current = self.ready_engines(&resolved.artifact);
         if !current.is_empty() || !resolved.any_version {
@@ -105,27 +105,27 @@
     }
 }
 
-/// Time over which a load report loses most of its weight.
+/// Time after which a load report counts half.
 const REPORT_HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// What a node knows of a candidate when it chooses.
+/// What a node knows of the load of a candidate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CandidateLoad {
-    /// Requests of this node running there.
+    /// Requests of this node that are in flight there.
     pub own_in_flight: u32,
-    /// Requests of other nodes running or waiting there, when it reported.
+    /// Requests of other nodes that were running or waiting there at the latest report.
     pub others_reported: u32,
-    /// Age of the report.
+    /// Age of that report.
     pub report_age: Duration,
-    /// Requests that the engine generates at the same time.
+    /// Number of requests that the engine processes concurrently.
     pub concurrency: u32,
     /// Whether it is in this node's zone.
     pub same_zone: bool,
 }
 
 impl CandidateLoad {
-    /// Expected requests per slot. Own requests count in full, those of other
-    /// nodes less the older the report is.
+    /// Expected requests per slot. The node's own requests count in full; those of other nodes
+    /// count less the older the report is.
     pub fn utilization(&self) -> f64 {
         let half_lives = self.report_age.as_secs_f64() / REPORT_HALF_LIFE.as_secs_f64();
         let others = f64::from(self.others_reported) * 0.5_f64.powf(half_lives);
@@ -133,18 +133,18 @@
     }
 }
 
-/// A policy for choosing among engines that can all answer.
+/// A load-balancing policy.
 pub trait Selector {
-    /// Index of the chosen candidate; none if there are no candidates.
+    /// Index of the selected candidate; `None` if there are no candidates.
     fn select(&self, candidates: &[CandidateLoad], random: &mut dyn RngCore) -> Option<usize>;
 }
 
-/// Takes the less loaded of two candidates drawn at random, so that nodes
-/// which all see the same old report do not all choose the same engine.
+/// Selects the less loaded of two random candidates, so that nodes that have the same stale
+/// report do not all select the same engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PowerOfTwoChoices;
 
-/// Utilization that an engine in another zone must be better by.
+/// Utilization by which an engine in another zone has to be better to be selected.
 const ZONE_PENALTY: f64 = 0.05;
 
 impl Selector for PowerOfTwoChoices {
@@ -155,12 +155,12 @@
         }
         let first = draw(random, count);
         let second = (first + 1 + draw(random, count - 1)) % count;
-        let better_second = cost(&candidates[second]) < cost(&candidates[first]);
-        Some(if better_second { second } else { first })
+        let second_is_better = cost(&candidates[second]) < cost(&candidates[first]);
+        Some(if second_is_better { second } else { first })
     }
 }
 
-/// Takes the candidate with the least expected load. A baseline.
+/// Selects the candidate with the lowest expected load. Serves as a baseline for comparison.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastLoaded;
 
@@ -172,8 +172,8 @@
 }
 
 fn cost(candidate: &CandidateLoad) -> f64 {
-    let zone = if candidate.same_zone { 0.0 } else { ZONE_PENALTY };
-    candidate.utilization() + zone
+    let zone_penalty = if candidate.same_zone { 0.0 } else { ZONE_PENALTY };
+    candidate.utilization() + zone_penalty
 }
 
 fn draw(random: &mut dyn RngCore, count: usize) -> usize {
--- a/crates/cometmoor-core/src/time.rs
+++ b/crates/cometmoor-core/src/time.rs
@@ -1,14 +1,14 @@
-//! The time, as it is passed into the core.
+//! Types for points in time. The core reads no clock; callers pass the time in.
 
 use std::time::Duration;
 
-/// Milliseconds on a clock that never runs backwards. Each process starts its
-/// own; timestamps of two processes cannot be compared.
+/// Milliseconds on a monotonic clock. Each process has its own origin, so timestamps of
+/// different processes cannot be compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// The time that has passed since `earlier`, zero if it lies ahead.
+    /// Time elapsed since `earlier`; zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
@@ -23,30 +23,29 @@
     }
 }
 
-/// A point on the machine's clock that goes on while the machine is suspended, as the
-/// time since it started. The process's steady clock (`std::time::Instant`) stands still
-/// then, so that a lease, a copy or a deadline reckoned by it is taken for younger than it
-/// is. The core has no clock: points are passed in.
+/// A point in time as the time since the machine booted, on a clock that keeps running while the
+/// machine is suspended. `std::time::Instant` stops during suspension, so a lease, a copy or a
+/// deadline measured by it would appear younger than it is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// The point at this time after the machine's start.
+    /// The point at this time after boot.
     pub fn after_boot(time: Duration) -> BootInstant {
         BootInstant(time)
     }
 
-    /// The time that has passed since `earlier`, zero if it lies ahead.
+    /// Time elapsed since `earlier`; zero if `earlier` is later than `self`.
     pub fn since(self, earlier: BootInstant) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// The point so long before; none before the machine's start.
+    /// The point earlier by this time; `None` if that is before boot.
     pub fn checked_sub(self, time: Duration) -> Option<BootInstant> {
         self.0.checked_sub(time).map(BootInstant)
     }
 
-    /// In milliseconds since the machine's start.
+    /// Converts to milliseconds since boot, rounded down.
     pub fn timestamp(self) -> Timestamp {
         Timestamp(u64::try_from(self.0.as_millis()).unwrap_or(u64::MAX))
     }
--- a/crates/cometmoor-core/tests/gateway_attempts.rs
+++ b/crates/cometmoor-core/tests/gateway_attempts.rs
@@ -1,5 +1,5 @@
-//! No course of failures runs a request twice that may run once, or says "not
-//! run" of one that has run.
+//! Property test of retries: no sequence of failures runs a request twice that may run only once,
+//! and no client is told "not run" for a request that has run.
 
 mod schedules;
 
@@ -10,45 +10,45 @@
 use schedules::for_each_schedule;
 
 const CASES: u64 = 20_000;
-const MOST_SENDS: u32 = 3;
+const MAX_SENDS: u32 = 3;
 
-/// What becomes of one send.
+/// The outcome of one attempt.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Send {
-    /// No byte left.
+    /// No byte was sent.
     Unreachable,
-    /// The server refused it.
+    /// The server refused the request without running it.
     Refused,
-    /// The server has run it, and the connection broke.
-    RunAndBroken,
-    /// The connection broke before the server had the request whole.
-    Broken,
-    /// The server has run it and failed.
+    /// The server ran the request, and the connection was lost.
+    RunAndLost,
+    /// The connection was lost before the server had received the complete request.
+    Lost,
+    /// The server ran the request and failed.
     RunAndFailed,
-    /// Some events came, then the stream broke off.
-    BrokenOff,
-    /// The whole answer came.
+    /// Some events arrived, then the stream was interrupted.
+    Interrupted,
+    /// The complete response arrived.
     Answered,
 }
 
 /// What the client was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
+enum Reported {
     Answer,
     NotRun,
     Unknown,
-    Cut,
+    Interrupted,
 }
 
 struct Outcome {
-    told: Told,
+    reported: Reported,
     runs: u32,
     arrivals: u32,
 }
 
-/// Sends the request as the gateway does, until it has an end.
-fn play(retry_policy: RetryPolicy, schedule: &[Send]) -> Outcome {
-    let mut attempts = Attempts::new(retry_policy, MOST_SENDS);
+/// Sends the request as the gateway does, until it is finished.
+fn run_attempts(retry_policy: RetryPolicy, schedule: &[Send]) -> Outcome {
+    let mut attempts = Attempts::new(retry_policy, MAX_SENDS);
     let (mut runs, mut arrivals) = (0, 0);
     for send in schedule {
         attempts.begin_send();
@@ -62,59 +62,59 @@
                 attempts.record_not_run();
                 SendFailure::NotRun
             }
-            Send::RunAndBroken => {
+            Send::RunAndLost => {
                 runs += 1;
                 SendFailure::ConnectionLost
             }
-            Send::Broken => SendFailure::ConnectionLost,
+            Send::Lost => SendFailure::ConnectionLost,
             Send::RunAndFailed => {
                 runs += 1;
                 SendFailure::ServerError
             }
-            Send::BrokenOff => {
+            Send::Interrupted => {
                 runs += 1;
                 attempts.record_response_started();
                 SendFailure::StreamInterrupted
             }
             Send::Answered => {
                 runs += 1;
-                return Outcome { told: Told::Answer, runs, arrivals };
+                return Outcome { reported: Reported::Answer, runs, arrivals };
             }
         };
         if !attempts.can_retry(failure) {
-            return Outcome { told: told(&attempts, failure), runs, arrivals };
+            return Outcome { reported: reported(&attempts, failure), runs, arrivals };
         }
     }
-    let told = told(&attempts, SendFailure::NotRun);
-    Outcome { told, runs, arrivals }
+    let reported = reported(&attempts, SendFailure::NotRun);
+    Outcome { reported, runs, arrivals }
 }
 
-fn told(attempts: &Attempts, failure: SendFailure) -> Told {
+fn reported(attempts: &Attempts, failure: SendFailure) -> Reported {
     match (attempts.progress(), failure) {
-        (Progress::Responding, _) => Told::Cut,
-        (_, SendFailure::ServerError) => Told::Answer,
-        _ if attempts.is_known_not_run() => Told::NotRun,
-        _ => Told::Unknown,
+        (Progress::Responding, _) => Reported::Interrupted,
+        (_, SendFailure::ServerError) => Reported::Answer,
+        _ if attempts.is_known_not_run() => Reported::NotRun,
+        _ => Reported::Unknown,
     }
 }
 
 #[test]
-fn one_run_at_most_and_not_run_is_true() {
+fn runs_at_most_once_and_reports_not_run_only_if_true() {
     for_each_schedule::<Send>(CASES, |schedule| {
-        for repeat in [
+        for retry_policy in [
             RetryPolicy::Once,
             RetryPolicy::Stream,
             RetryPolicy::Idempotent,
             RetryPolicy::ResumableStream,
         ] {
-            let outcome = play(repeat, schedule);
-            if matches!(repeat, RetryPolicy::Once | RetryPolicy::Stream) {
-                assert!(outcome.runs <= 1, "{repeat:?} ran {} times", outcome.runs);
+            let outcome = run_attempts(retry_policy, schedule);
+            if matches!(retry_policy, RetryPolicy::Once | RetryPolicy::Stream) {
+                assert!(outcome.runs <= 1, "{retry_policy:?} ran {} times", outcome.runs);
             }
-            if outcome.told == Told::NotRun {
-                assert_eq!(outcome.runs, 0, "{repeat:?} was told not to have run");
+            if outcome.reported == Reported::NotRun {
+                assert_eq!(outcome.runs, 0, "{retry_policy:?} was reported as not run");
             }
-            assert!(outcome.arrivals <= MOST_SENDS);
+            assert!(outcome.arrivals <= MAX_SENDS);
         }
     });
 }
--- a/crates/cometmoor-core/tests/gateway_configuration.rs
+++ b/crates/cometmoor-core/tests/gateway_configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration in force only rises, in whatever order versions are
-//! offered by the store and by peers, and is always the newest one offered.
+//! Property test of the active configuration: its version only increases, in whatever order the
+//! store and peers offer versions, and it is always the newest version offered.
 
 mod schedules;
 
@@ -16,14 +16,14 @@
 enum Step {
     /// The store or a peer offers a version.
     Offer { version: u8 },
-    /// The process ends; another one starts, which knows nothing.
+    /// The process is replaced by a new one without state.
     Restart,
 }
 
 #[test]
-fn versions_only_rise_within_one_life() {
+fn version_only_increases_within_one_process() {
     for_each_schedule::<Step>(CASES, |steps| {
-        let mut in_force = ActiveConfiguration::default();
+        let mut active = ActiveConfiguration::default();
         let mut newest = 0;
         for step in steps {
             match step {
@@ -31,16 +31,16 @@
                     let version = u64::from(*version);
                     let mut configuration = GatewayConfiguration::default();
                     configuration.version = version;
-                    let taken = in_force.offer(Arc::new(configuration));
-                    assert_eq!(taken, version > newest);
+                    let activated = active.offer(Arc::new(configuration));
+                    assert_eq!(activated, version > newest);
                     newest = newest.max(version);
                 }
                 Step::Restart => {
-                    in_force = ActiveConfiguration::default();
+                    active = ActiveConfiguration::default();
                     newest = 0;
                 }
             }
-            assert_eq!(in_force.version(), newest);
+            assert_eq!(active.version(), newest);
         }
     });
 }
--- a/crates/cometmoor-core/tests/gateway_orders.rs
+++ b/crates/cometmoor-core/tests/gateway_orders.rs
@@ -1,5 +1,5 @@
-//! No schedule of lost and late orders makes a server load more than it holds,
-//! and what the ledger believes comes true.
+//! Property tests of the order ledger: no schedule of lost and delayed orders makes a server load
+//! more than its memory holds, and an unanswered order is resent until a report settles it.
 
 mod schedules;
 
@@ -20,44 +20,44 @@
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Step {
-    /// The leader loads a model, if it fits by its ledger.
-    Load { model: u8, fate: u8 },
-    /// The leader unloads a model that it believes to be there.
-    Unload { model: u8, fate: u8 },
-    /// The leader does what the ledger asks for.
-    Continue { fate: u8 },
-    /// The server finishes the order that it carries out.
+    /// The leader loads a model if it fits according to the ledger.
+    Load { model: u8, delivery: u8 },
+    /// The leader unloads a model that is loaded according to the ledger.
+    Unload { model: u8, delivery: u8 },
+    /// The leader takes the ledger's next step.
+    Continue { delivery: u8 },
+    /// The server completes the order that it is executing.
     Finish,
-    /// An order that was on its way arrives.
-    Late { index: u8 },
-    /// Time passes.
-    Pass { tenths: u8 },
+    /// A delayed order arrives.
+    DeliverLate { index: u8 },
+    /// Time advances.
+    Advance { tenths: u8 },
 }
 
-/// The server: counts orders, carries one out at a time.
+/// A server that counts the orders it accepts and executes one at a time.
 #[derive(Default)]
 struct Server {
     count: u64,
     held: BTreeSet<Weights>,
-    under_way: Option<ServerOrder>,
-    most: usize,
+    executing: Option<ServerOrder>,
+    max_models: usize,
 }
 
 impl Server {
-    /// Whether the order was taken.
-    fn take(&mut self, order: &ServerOrder, expected_count: u64) -> bool {
-        if self.under_way.is_some() || self.count != expected_count {
+    /// Accepts the order if the server is idle and the count matches.
+    fn accept(&mut self, order: &ServerOrder, expected_count: u64) -> bool {
+        if self.executing.is_some() || self.count != expected_count {
             return false;
         }
         self.count += 1;
-        let loads = order.action == Action::Load && !self.held.contains(&order.weights);
-        self.most = self.most.max(self.held.len() + usize::from(loads));
-        self.under_way = Some(order.clone());
+        let adds_model = order.action == Action::Load && !self.held.contains(&order.weights);
+        self.max_models = self.max_models.max(self.held.len() + usize::from(adds_model));
+        self.executing = Some(order.clone());
         true
     }
 
     fn finish(&mut self) {
-        let Some(order) = self.under_way.take() else { return };
+        let Some(order) = self.executing.take() else { return };
         match order.action {
             Action::Load => self.held.insert(order.weights),
             Action::Unload => self.held.remove(&order.weights),
@@ -65,7 +65,7 @@
     }
 
     fn report(&self) -> ServerReport {
-        ServerReport { count: self.count, busy: self.under_way.is_some(), held: self.held.clone() }
+        ServerReport { count: self.count, busy: self.executing.is_some(), held: self.held.clone() }
     }
 }
 
@@ -74,7 +74,7 @@
     now: u64,
     server: Server,
     ledger: ServerLedger,
-    on_the_way: Vec<(ServerOrder, u64)>,
+    delayed: Vec<(ServerOrder, u64)>,
 }
 
 impl World {
@@ -82,92 +82,96 @@
         Timestamp(self.now)
     }
 
-    /// Sends an order that is answered, loses its answer, or is late.
-    fn send(&mut self, order: ServerOrder, expected_count: u64, fate: u8) {
+    /// Sends an order that is answered, loses its answer, or is delayed.
+    fn send(&mut self, order: ServerOrder, expected_count: u64, delivery: u8) {
         self.ledger.record_sent(&order, expected_count, Duration::from_millis(500));
-        match fate % 4 {
+        match delivery % 4 {
             0 | 1 => {
-                if self.server.take(&order, expected_count) {
+                if self.server.accept(&order, expected_count) {
                     self.ledger.record_accepted(self.now());
                 } else {
                     self.ledger.record_unknown_outcome();
                 }
             }
             2 => {
-                self.server.take(&order, expected_count);
+                self.server.accept(&order, expected_count);
                 self.ledger.record_unknown_outcome();
             }
             _ => {
-                self.on_the_way.push((order, expected_count));
+                self.delayed.push((order, expected_count));
                 self.ledger.record_unknown_outcome();
             }
         }
     }
 
-    fn order(&mut self, action: Action, model: u8, fate: u8) {
+    fn order(&mut self, action: Action, model: u8, delivery: u8) {
         let NextStep::Idle { expected_count } = self.ledger.next_step(self.now()) else { return };
         let weights = Weights::model(&format!("m{}", model % MODELS));
         let mut reserved = self.ledger.reserved();
-        let there = self.ledger.held().contains(&weights);
+        let is_held = self.ledger.held().contains(&weights);
         reserved.insert(weights.clone());
-        let sensible = match action {
-            Action::Load => !there && reserved.len() <= SLOTS,
-            Action::Unload => there,
+        let is_possible = match action {
+            Action::Load => !is_held && reserved.len() <= SLOTS,
+            Action::Unload => is_held,
         };
-        if sensible {
-            self.send(ServerOrder { action, weights }, expected_count, fate);
+        if is_possible {
+            self.send(ServerOrder { action, weights }, expected_count, delivery);
         }
     }
 
     fn run(&mut self, step: Step) {
         match step {
-            Step::Load { model, fate } => self.order(Action::Load, model, fate),
-            Step::Unload { model, fate } => self.order(Action::Unload, model, fate),
-            Step::Continue { fate } => match self.ledger.next_step(self.now()) {
+            Step::Load { model, delivery } => self.order(Action::Load, model, delivery),
+            Step::Unload { model, delivery } => self.order(Action::Unload, model, delivery),
+            Step::Continue { delivery } => match self.ledger.next_step(self.now()) {
                 NextStep::RequestReport => {
                     self.ledger.record_report(self.server.report(), self.now());
                 }
                 NextStep::Resend { order, expected_count } => {
-                    self.send(order, expected_count, fate);
+                    self.send(order, expected_count, delivery);
                 }
                 NextStep::Wait | NextStep::Idle { .. } => {}
             },
             Step::Finish => self.server.finish(),
-            Step::Late { index } => {
-                if !self.on_the_way.is_empty() {
-                    let index = usize::from(index) % self.on_the_way.len();
-                    let (order, expected_count) = self.on_the_way.remove(index);
-                    self.server.take(&order, expected_count);
+            Step::DeliverLate { index } => {
+                if !self.delayed.is_empty() {
+                    let index = usize::from(index) % self.delayed.len();
+                    let (order, expected_count) = self.delayed.remove(index);
+                    self.server.accept(&order, expected_count);
                 }
             }
-            Step::Pass { tenths } => self.now += u64::from(tenths) * 100,
+            Step::Advance { tenths } => self.now += u64::from(tenths) * 100,
         }
     }
 }
 
 #[test]
-fn no_schedule_loads_more_than_a_server_holds() {
+fn no_schedule_loads_more_than_the_server_can_hold() {
     for_each_schedule::<Step>(CASES, |steps| {
         let mut world = World::default();
         for step in steps {
             world.run(*step);
-            assert!(world.server.most <= SLOTS, "{} models after {step:?}", world.server.most);
+            assert!(
+                world.server.max_models <= SLOTS,
+                "{} models after {step:?}",
+                world.server.max_models
+            );
         }
     });
 }
 
 #[test]
-fn an_order_in_doubt_is_repeated_with_the_same_count_until_a_report_settles_it() {
+fn an_unanswered_order_is_resent_with_the_same_count_until_a_report_settles_it() {
     let mut world = World::default();
-    world.run(Step::Continue { fate: 0 });
-    world.run(Step::Load { model: 1, fate: 3 });
+    world.run(Step::Continue { delivery: 0 });
+    world.run(Step::Load { model: 1, delivery: 3 });
     world.now += 1000;
-    world.run(Step::Continue { fate: 0 });
+    world.run(Step::Continue { delivery: 0 });
     let order = ServerOrder { action: Action::Load, weights: Weights::model("m1") };
     let step = world.ledger.next_step(world.now());
     assert_eq!(step, NextStep::Resend { order, expected_count: 0 });
-    assert!(world.ledger.reserved().contains(&Weights::model("m1")), "memory is kept for it");
-    world.run(Step::Continue { fate: 0 });
-    world.run(Step::Late { index: 0 });
-    assert_eq!(world.server.count, 1, "the late copy has no effect");
+    assert!(world.ledger.reserved().contains(&Weights::model("m1")), "its memory stays reserved");
+    world.run(Step::Continue { delivery: 0 });
+    world.run(Step::DeliverLate { index: 0 });
+    assert_eq!(world.server.count, 1, "the delayed copy has no effect");
 }
--- a/crates/cometmoor-core/tests/gateway_retry_budget.rs
+++ b/crates/cometmoor-core/tests/gateway_retry_budget.rs
@@ -1,5 +1,5 @@
-//! Repeats of all nodes stay within the bound in any window, also while nodes
-//! start, end and do not see each other.
+//! Property test of the fleet's retry budget: the retries of all nodes stay within the limit in
+//! any window, also when processes are replaced and do not know what was spent before.
 
 mod schedules;
 
@@ -18,18 +18,18 @@
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Step {
-    Pass {
+    Advance {
         hundredths: u8,
     },
     Requests {
         node: u8,
         count: u8,
     },
-    Repeats {
+    Retries {
         node: u8,
         count: u8,
     },
-    /// A node's process is replaced; it does not know what was spent.
+    /// A node's process is replaced; the new one does not know what was spent.
     Restart {
         node: u8,
     },
@@ -39,30 +39,30 @@
     now: u64,
     budgets: Vec<FleetRetryBudget>,
     requests: Vec<u64>,
-    repeats: Vec<u64>,
+    retries: Vec<u64>,
 }
 
 impl World {
     fn new() -> World {
         let budget = FleetRetryBudget::new(BOUNDS, Timestamp(0), true);
-        World { now: 0, budgets: vec![budget; NODES], requests: Vec::new(), repeats: Vec::new() }
+        World { now: 0, budgets: vec![budget; NODES], requests: Vec::new(), retries: Vec::new() }
     }
 
     fn run(&mut self, step: Step) {
         let now = Timestamp(self.now);
         let node = |index: u8| usize::from(index) % NODES;
         match step {
-            Step::Pass { hundredths } => self.now += u64::from(hundredths) * 40,
+            Step::Advance { hundredths } => self.now += u64::from(hundredths) * 40,
             Step::Requests { node: index, count } => {
                 for _ in 0..count % 32 {
                     self.budgets[node(index)].record_request(now);
                     self.requests.push(self.now);
                 }
             }
-            Step::Repeats { node: index, count } => {
+            Step::Retries { node: index, count } => {
                 for _ in 0..count % 64 {
                     if self.budgets[node(index)].try_retry(now, NODES) {
-                        self.repeats.push(self.now);
+                        self.retries.push(self.now);
                     }
                 }
             }
@@ -72,26 +72,26 @@
         }
     }
 
-    /// The bound as the operators count it: requests of the window or of the
-    /// one before it, whichever are more.
+    /// Checks the limit as operators measure it, by the largest number of requests in the window,
+    /// in the one before it, or in the one that is shifted back by half a window.
     fn check(&self) {
         let window = BOUNDS.window.as_millis() as u64;
-        for start in &self.repeats {
+        for start in &self.retries {
             let inside = |from: u64, times: &[u64]| {
                 times.iter().filter(|time| **time >= from && **time < from + window).count()
             };
-            let repeats = inside(*start, &self.repeats);
+            let retries = inside(*start, &self.retries);
             let requests = inside(*start, &self.requests)
                 .max(inside(start.saturating_sub(window), &self.requests))
                 .max(inside(start.saturating_sub(window / 2), &self.requests));
             let bound = BOUNDS.ratio * requests as f64 + BOUNDS.extra;
-            assert!(repeats as f64 <= bound, "{repeats} repeats from {start}, allowed {bound}");
+            assert!(retries as f64 <= bound, "{retries} retries from {start}, allowed {bound}");
         }
     }
 }
 
 #[test]
-fn no_window_exceeds_the_bound() {
+fn retries_in_any_window_stay_within_the_limit() {
     for_each_schedule::<Step>(CASES, |steps| {
         let mut world = World::new();
         for step in steps {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_process_that_does_not_know_what_was_spent_uses_its_own_requests_only() {
+fn a_process_without_history_earns_retries_only_from_its_own_requests() {
     let started = Timestamp(5_000);
     let mut budget = FleetRetryBudget::new(BOUNDS, started, false);
     assert!(!budget.try_retry(started, 1));
--- a/crates/cometmoor-core/tests/gateway_tenants.rs
+++ b/crates/cometmoor-core/tests/gateway_tenants.rs
@@ -1,4 +1,4 @@
-//! Who may run a request of a route, and what it counts.
+//! Access checks by key and route, and the quota cost of requests.
 
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn each_key_of_a_tenant_is_its_own_and_a_tenant_without_keys_runs_nothing() {
+fn each_key_grants_access_to_its_tenant_only() {
     let digests = |keys: &[&str]| keys.iter().map(|key| KeyDigest::of(key.as_bytes())).collect();
     let tenants = Tenants::new(vec![
         (tenant("linen"), digests(&["k1", "k2"])),
@@ -54,39 +54,39 @@
 }
 
 #[test]
-fn routes_need_keys_where_tenants_are_listed_even_if_there_are_none() {
+fn routes_require_a_key_once_tenants_are_configured_even_an_empty_list() {
     let current = KeyFreshness::CURRENT;
-    let nobody = Tenants::default();
+    let no_tenants = Tenants::default();
     let missing = PresentedKey::Missing;
     assert_eq!(access(None, &route(false), missing, current), Access::Granted(None));
-    assert_eq!(access(Some(&nobody), &route(false), missing, current), Access::Denied);
-    assert_eq!(access(Some(&nobody), &route(false), key("k"), current), Access::Denied);
-    assert_eq!(access(Some(&nobody), &route(true), missing, current), Access::Granted(None));
+    assert_eq!(access(Some(&no_tenants), &route(false), missing, current), Access::Denied);
+    assert_eq!(access(Some(&no_tenants), &route(false), key("k"), current), Access::Denied);
+    assert_eq!(access(Some(&no_tenants), &route(true), missing, current), Access::Granted(None));
 }
 
 #[test]
-fn a_public_route_runs_for_anybody_and_for_a_tenant_where_the_key_holds() {
+fn a_public_route_accepts_any_request_and_attributes_valid_keys_to_their_tenant() {
     let tenants = Tenants::new(vec![(tenant("linen"), vec![KeyDigest::of(b"k1")])]);
-    let too_old = KeyFreshness { admits: false, denies: false };
-    let of = |key, knowledge| access(Some(&tenants), &route(true), key, knowledge);
-    assert_eq!(name(&of(key("k1"), KeyFreshness::CURRENT)), Some("linen"));
-    assert_eq!(of(key("k2"), KeyFreshness::CURRENT), Access::Granted(None));
-    assert_eq!(of(key("k1"), too_old), Access::Granted(None));
-    assert_eq!(of(PresentedKey::Malformed, KeyFreshness::CURRENT), Access::Granted(None));
+    let stale = KeyFreshness { admits: false, denies: false };
+    let check = |key, freshness| access(Some(&tenants), &route(true), key, freshness);
+    assert_eq!(name(&check(key("k1"), KeyFreshness::CURRENT)), Some("linen"));
+    assert_eq!(check(key("k2"), KeyFreshness::CURRENT), Access::Granted(None));
+    assert_eq!(check(key("k1"), stale), Access::Granted(None));
+    assert_eq!(check(PresentedKey::Malformed, KeyFreshness::CURRENT), Access::Granted(None));
 }
 
 #[test]
-fn a_copy_that_is_too_old_decides_nothing() {
+fn a_stale_copy_of_the_keys_leaves_access_undecided() {
     let tenants = Tenants::new(vec![(tenant("linen"), vec![KeyDigest::of(b"k1")])]);
-    let too_old = KeyFreshness { admits: false, denies: false };
+    let stale = KeyFreshness { admits: false, denies: false };
     for text in ["k1", "k2"] {
-        let decided = access(Some(&tenants), &route(false), key(text), too_old);
+        let decided = access(Some(&tenants), &route(false), key(text), stale);
         assert_eq!(decided, Access::Undecided, "{text}");
     }
 }
 
 #[test]
-fn a_request_counts_its_tokens_or_what_one_without_them_counts() {
+fn a_request_costs_its_tokens_or_the_default() {
     let tokens = QuotaUnit::Tokens { default_tokens: 200 };
     assert_eq!(tokens.cost(Some(1540)), 1540);
     assert_eq!(tokens.cost(None), 200);
--- a/crates/cometmoor-core/tests/keys.rs
+++ b/crates/cometmoor-core/tests/keys.rs
@@ -1,5 +1,5 @@
-//! Keys of callers: which forms are keys at all, and what is decided on each by how new
-//! the copy of the keys is.
+//! Client keys: which header values are valid keys, and how a key is checked depending on the
+//! freshness of the copy of the keys.
 
 use cometmoor_core::keys::{KeyCheck, KeyDigest, KeyFreshness, KeyRing, PresentedKey};
 
@@ -8,10 +8,10 @@
 }
 
 #[test]
-fn only_one_key_of_plain_signs_and_bearable_length_is_a_key() {
+fn a_key_is_a_single_value_of_printable_ascii_with_limited_length() {
     let key = PresentedKey::Key(KeyDigest::of(b"desk-1"));
     assert_eq!(presented(&[b"desk-1"]), key);
-    assert_eq!(presented(&[b"  desk-1\t"]), key, "blanks round a value are not part of it");
+    assert_eq!(presented(&[b"  desk-1\t"]), key, "white space around a value is ignored");
     assert_eq!(presented(&[]), PresentedKey::Missing);
     let long = vec![b'x'; 257];
     let malformed: [&[&[u8]]; 8] = [
@@ -30,17 +30,17 @@
 }
 
 #[test]
-fn digests_pass_through_hexadecimal_digits_and_show_nothing() {
+fn digests_round_trip_through_hexadecimal_and_debug_output_hides_them() {
     let digest = KeyDigest::of(b"desk-1");
     assert_eq!(KeyDigest::from_hex(&digest.to_hex()), Some(digest));
-    // SHA-256 of "abc", whole, and the first half of it.
-    let whole = "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad";
-    assert_eq!(KeyDigest::from_hex(whole), Some(KeyDigest::of(b"abc")));
-    assert_eq!(KeyDigest::of(b"abc").to_hex(), whole[..32]);
+    // SHA-256 of "abc": the full digest, then its first half.
+    let full = "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad";
+    assert_eq!(KeyDigest::from_hex(full), Some(KeyDigest::of(b"abc")));
+    assert_eq!(KeyDigest::of(b"abc").to_hex(), full[..32]);
     for text in [
         "",
         "ba78",
-        &whole[..31],
+        &full[..31],
         "zz7816bf8f01cfea414140de5dae2223",
         "+a7816bf8f01cfea414140de5dae2223",
     ] {
@@ -51,17 +51,17 @@
 }
 
 #[test]
-fn a_copy_decides_only_on_what_it_can_know() {
+fn a_copy_decides_only_what_its_freshness_allows() {
     let ring: KeyRing<&str> = [(KeyDigest::of(b"known"), "linen")].into_iter().collect();
     let (known, unknown) = (presented(&[b"known"]), presented(&[b"unknown"]));
-    let of = |admits, denies| KeyFreshness { admits, denies };
+    let freshness = |admits, denies| KeyFreshness { admits, denies };
     assert_eq!(ring.check(known, KeyFreshness::CURRENT), KeyCheck::Admitted(&"linen"));
     assert_eq!(ring.check(unknown, KeyFreshness::CURRENT), KeyCheck::Unknown);
-    assert_eq!(ring.check(known, of(true, false)), KeyCheck::Admitted(&"linen"));
-    assert_eq!(ring.check(unknown, of(true, false)), KeyCheck::Undecided);
-    assert_eq!(ring.check(known, of(false, false)), KeyCheck::Undecided);
-    assert_eq!(ring.check(unknown, of(false, false)), KeyCheck::Undecided);
-    // What cannot be a key is nobody's, whatever the copy.
-    assert_eq!(ring.check(PresentedKey::Missing, of(false, false)), KeyCheck::Unknown);
-    assert_eq!(ring.check(PresentedKey::Malformed, of(false, false)), KeyCheck::Unknown);
+    assert_eq!(ring.check(known, freshness(true, false)), KeyCheck::Admitted(&"linen"));
+    assert_eq!(ring.check(unknown, freshness(true, false)), KeyCheck::Undecided);
+    assert_eq!(ring.check(known, freshness(false, false)), KeyCheck::Undecided);
+    assert_eq!(ring.check(unknown, freshness(false, false)), KeyCheck::Undecided);
+    // A missing or malformed key is unknown, however old the copy is.
+    assert_eq!(ring.check(PresentedKey::Missing, freshness(false, false)), KeyCheck::Unknown);
+    assert_eq!(ring.check(PresentedKey::Malformed, freshness(false, false)), KeyCheck::Unknown);
 }
--- a/crates/cometmoor-core/tests/schedules/mod.rs
+++ b/crates/cometmoor-core/tests/schedules/mod.rs
@@ -1,8 +1,8 @@
 //! Runs a property over schedules that `bolero` generates from fixed seeds.
 //!
-//! `bolero::check!` draws its seeds from the operating system, so two runs of
-//! CI could differ in their verdict. Here case N is always the same. More
-//! cases, or others, are run by `COMETMOOR_CASES` and `COMETMOOR_FIRST_SEED`.
+//! `bolero::check!` takes its seeds from the operating system, so two CI runs of the same code
+//! could give different results. Here case N is always the same. `COMETMOOR_CASES` sets the
+//! number of cases and `COMETMOOR_FIRST_SEED` the first seed.
 
 use std::fmt::Debug;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -12,11 +12,11 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
 
-/// Steps of one schedule.
+/// Maximum number of steps in a schedule.
 const STEPS: usize = 48;
 
-/// Runs `property` on `cases` schedules; a failing one is shortened, printed
-/// with its seed, and fails the test.
+/// Runs `property` on `cases` schedules. A failing schedule is reduced to the steps that matter and
+/// printed with its seed, and the test fails.
 pub fn for_each_schedule<Step: TypeGenerator + Copy + Debug>(
     cases: u64,
     property: impl Fn(&[Step]),
@@ -25,13 +25,13 @@
     let first = from_environment("COMETMOOR_FIRST_SEED").unwrap_or(0);
     for seed in first..first + cases {
         let steps = generate::<Step>(seed);
-        if holds(&property, &steps) {
+        if passes(&property, &steps) {
             continue;
         }
-        let steps = shorten(&property, steps);
-        eprintln!("seed {seed} fails, shortened to {steps:#?}");
+        let steps = shrink(&property, steps);
+        eprintln!("seed {seed} fails, reduced to {steps:#?}");
         property(&steps);
-        unreachable!("the shortened schedule fails as well");
+        unreachable!("the reduced schedule fails as well");
     }
 }
 
@@ -45,18 +45,18 @@
     (0..STEPS).filter_map(|_| Step::generate(&mut driver)).collect()
 }
 
-fn holds<Step>(property: &impl Fn(&[Step]), steps: &[Step]) -> bool {
+fn passes<Step>(property: &impl Fn(&[Step]), steps: &[Step]) -> bool {
     catch_unwind(AssertUnwindSafe(|| property(steps))).is_ok()
 }
 
-/// Leaves out every step without which the property still fails.
-fn shorten<Step: Copy>(property: &impl Fn(&[Step]), mut steps: Vec<Step>) -> Vec<Step> {
+/// Removes every step without which the property still fails.
+fn shrink<Step: Copy>(property: &impl Fn(&[Step]), mut steps: Vec<Step>) -> Vec<Step> {
     let mut index = steps.len();
     while index > 0 {
         index -= 1;
         let mut shorter = steps.clone();
         shorter.remove(index);
-        if !holds(property, &shorter) {
+        if !passes(property, &shorter) {
             steps = shorter;
         }
     }
