--- a/crates/cometmoor-core/src/gateway/planner/adapters.rs
+++ b/crates/cometmoor-core/src/gateway/planner/adapters.rs
@@ -68,7 +68,7 @@
                 let weights = Weights::adapter(&profile.name, &profile.adapter_name(number));
                 let known = AdapterUse {
                     asked: self.demand.adapters.get(&weights).copied().unwrap_or(0.0),
-                    is_waited_for: self.demand.waited_for.contains(&weights),
+                    is_waited_for: self.demand.awaited_adapters.contains(&weights),
                     holders: 0,
                 };
                 uses.insert(Adapter { model, number }, known);
--- a/crates/cometmoor-core/src/gateway/planner/coverage.rs
+++ b/crates/cometmoor-core/src/gateway/planner/coverage.rs
@@ -83,7 +83,7 @@
     /// Share of the requests that are missed when all copies are there.
     pub(super) fn missed_in_the_end(&self) -> f64 {
         let coming: f64 = self.coming.iter().map(|supply| supply.capacity).sum();
-        missed_share(self.demand.work, self.capacity_now + coming)
+        missed_share(self.demand.offered_load, self.capacity_now + coming)
     }
 
     fn add(&mut self, supply: Supply) {
@@ -113,8 +113,8 @@
     fn missed_between(&self, from: f64, until: f64, capacity: f64) -> f64 {
         let span = |lasts: f64| lasts * (worth_left(from, lasts) - worth_left(until, lasts));
         let unreachable = if capacity <= 0.0 { REACHABLE * span(MISSING_LASTS) } else { 0.0 };
-        let share = missed_share(self.demand.work, capacity);
-        unreachable + self.demand.requests * share * span(DEMAND_LASTS)
+        let share = missed_share(self.demand.offered_load, capacity);
+        unreachable + self.demand.requests_per_second * share * span(DEMAND_LASTS)
     }
 }
 
@@ -197,7 +197,7 @@
     /// Work on a model for each of its copies.
     fn work_of(&self, model: ModelIndex) -> f64 {
         let model = &self.models[model];
-        model.demand.work / model.copies.max(1) as f64
+        model.demand.offered_load / model.copies.max(1) as f64
     }
 
     /// Part of a server that a model's copy there has, or would have, beside the
--- a/crates/cometmoor-core/src/gateway/planner/inventory.rs
+++ b/crates/cometmoor-core/src/gateway/planner/inventory.rs
@@ -114,12 +114,12 @@
         let megabytes = |model: &ModelIndex| self.profile.models[*model].weights_megabytes;
         let taken: f64 = reserved.iter().map(megabytes).sum();
         let mut stock = Stock {
-            is_free: server.idle,
+            is_free: server.is_idle,
             copies: Vec::new(),
             serving: self.bases(server.held.iter().filter(|weights| server.stays(weights))),
-            fresh: self.models(&server.fresh),
+            fresh: self.models(&server.recently_loaded),
             free_megabytes: self.profile.weights_megabytes - taken,
-            promised: server.promised.as_deref().and_then(|name| self.model(name)),
+            promised: server.pending_load.as_deref().and_then(|name| self.model(name)),
             held_adapters: self.adapters(&server.held),
             adapters: self.adapters(&server.reserved),
             in_host_memory: self.models(&server.in_host_memory),
@@ -135,11 +135,11 @@
         let coming = self.bases(server.reserved.iter().filter(|weights| server.stays(weights)));
         let ready_in = |model: &ModelIndex| match stock.serving.contains(model) {
             true => 0.0,
-            false => server.loading_left.as_secs_f64(),
+            false => server.load_time_left.as_secs_f64(),
         };
         let mut copies: Vec<Copy> =
             coming.iter().map(|model| Copy { model: *model, ready_in: ready_in(model) }).collect();
-        let promised = stock.promised.filter(|_| !server.idle);
+        let promised = stock.promised.filter(|_| !server.is_idle);
         if let Some(model) = promised.filter(|model| !stock.reserved.contains(model)) {
             let ready_in = UNLOAD_SECONDS + stock.load_seconds(self.profile, model);
             copies.push(Copy { model, ready_in });
--- a/crates/cometmoor-core/src/gateway/planner/mod.rs
+++ b/crates/cometmoor-core/src/gateway/planner/mod.rs
@@ -28,7 +28,7 @@
     /// Its identifier.
     pub id: Arc<str>,
     /// Whether it can be ordered now.
-    pub idle: bool,
+    pub is_idle: bool,
     /// What it holds for certain.
     pub held: BTreeSet<Weights>,
     /// What it holds or may come to hold.
@@ -38,32 +38,32 @@
     /// Models whose weights it has on disk.
     pub on_disk: BTreeSet<String>,
     /// Models that it got so lately that they should stay.
-    pub fresh: BTreeSet<String>,
+    pub recently_loaded: BTreeSet<String>,
     /// Time until the model that is not held for certain is there.
-    pub loading_left: Duration,
+    pub load_time_left: Duration,
     /// Weights that are being taken away; they do not count as a copy.
-    pub leaving: Option<Weights>,
+    pub unloading: Option<Weights>,
     /// Model for which room is being made, or was made; it counts as a copy
     /// while the server is busy.
-    pub promised: Option<String>,
+    pub pending_load: Option<String>,
 }
 
 /// Time for which demand has to be watched before copies are taken away by it.
-pub const DEMAND_KNOWN: Duration = Duration::from_secs(3);
+pub const MIN_DEMAND_HISTORY: Duration = Duration::from_secs(3);
 /// Longest pause between two rounds of planning.
-pub const ROUND: Duration = Duration::from_millis(250);
+pub const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(250);
 /// Time between the withdrawal of a model and the order to unload it, in which
 /// all nodes learn of it.
-pub const WITHDRAWAL: Duration = Duration::from_millis(300);
+pub const WITHDRAWAL_DELAY: Duration = Duration::from_millis(300);
 /// Time for which a copy stays after its load.
-pub const SHORTEST_STAY: Duration = Duration::from_secs(8);
+pub const MIN_RESIDENCY: Duration = Duration::from_secs(8);
 /// Seconds until an unload is announced and done.
 const UNLOAD_SECONDS: f64 = 1.0;
 
 impl PlannedServer {
     /// Whether weights that it has, or will have, are not about to go.
     fn stays(&self, weights: &Weights) -> bool {
-        self.leaving.as_ref() != Some(weights)
+        self.unloading.as_ref() != Some(weights)
     }
 }
 
@@ -71,9 +71,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ModelDemand {
     /// Work, in servers that it would keep busy.
-    pub work: f64,
+    pub offered_load: f64,
     /// Requests a second.
-    pub requests: f64,
+    pub requests_per_second: f64,
 }
 
 /// Work of a request that fills a batch, against that of prompts which keep a
@@ -86,8 +86,8 @@
     /// batches the running requests fill, and the requests a second. Whichever
     /// is more binds: with short prompts and long answers, batches are full long
     /// before the reading of prompts fills a server's time.
-    pub fn new(reading: f64, batches: f64, requests: f64) -> ModelDemand {
-        ModelDemand { work: reading.max(batches * SLOT_WEIGHT), requests }
+    pub fn new(reading: f64, batches: f64, requests_per_second: f64) -> ModelDemand {
+        ModelDemand { offered_load: reading.max(batches * SLOT_WEIGHT), requests_per_second }
     }
 }
 
@@ -95,13 +95,13 @@
 #[derive(Clone, Debug, Default)]
 pub struct FleetDemand {
     /// Whether it was watched for long enough to take copies away by it.
-    pub is_known: bool,
+    pub has_enough_history: bool,
     /// What is asked of each model.
     pub models: BTreeMap<String, ModelDemand>,
     /// Requests a second for each adapter.
     pub adapters: BTreeMap<Weights, f64>,
     /// Adapters that requests wait for now.
-    pub waited_for: BTreeSet<Weights>,
+    pub awaited_adapters: BTreeSet<Weights>,
 }
 
 /// An order for a server.
@@ -114,7 +114,7 @@
     /// Whether the weights come from the weight store.
     pub from_store: bool,
     /// How long a load is likely to take; zero for an unload.
-    pub takes: Duration,
+    pub expected_duration: Duration,
     /// Model for which an unload makes room.
     pub makes_room_for: Option<String>,
 }
@@ -168,10 +168,10 @@
     fn load_model(&mut self, server: ServerIndex, model: ModelIndex) {
         let stock = &self.stocks[server];
         let from_store = stock.loads_from_store(model);
-        let takes = Duration::from_secs_f64(stock.load_seconds(self.profile, model));
+        let expected_duration = Duration::from_secs_f64(stock.load_seconds(self.profile, model));
         self.loads_left -= usize::from(from_store);
         let order = self.planned(server, Action::Load, self.model_weights(model));
-        self.push(server, PlannedOrder { from_store, takes, ..order });
+        self.push(server, PlannedOrder { from_store, expected_duration, ..order });
     }
 
     /// Adds the unload of a model that makes room for another one.
@@ -199,7 +199,7 @@
             server: self.servers[server].id.clone(),
             order: ServerOrder { action, weights },
             from_store: false,
-            takes: Duration::ZERO,
+            expected_duration: Duration::ZERO,
             makes_room_for: None,
         }
     }
--- a/crates/cometmoor-core/src/gateway/planner/models.rs
+++ b/crates/cometmoor-core/src/gateway/planner/models.rs
@@ -102,7 +102,7 @@
 
     fn needs_copy(&self, model: ModelIndex) -> bool {
         let coverage = &self.coverage.models[model];
-        let short = self.demand.is_known && coverage.missed_in_the_end() > COVERED;
+        let short = self.demand.has_enough_history && coverage.missed_in_the_end() > COVERED;
         coverage.copies == 0 || short
     }
 
--- a/crates/cometmoor-core/src/gateway/signals/limit.rs
+++ b/crates/cometmoor-core/src/gateway/signals/limit.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Observed, SignalChange};
+use super::{ObservationWindow, SignalChange};
 use crate::time::BootInstant;
 
 /// Time that a report may take from node to node, unknown to the receiver: what it reports
@@ -17,7 +17,7 @@
     /// Requests a second; none where it has no limit any more.
     pub(super) per_second: Option<f64>,
     /// When the word was true that counts.
-    pub(super) observed: Observed,
+    pub(super) observed: ObservationWindow,
     /// When the last answer was read that named any limit.
     limited_until: Option<BootInstant>,
 }
@@ -28,21 +28,21 @@
     /// Requests a second; none where it has no limit any more.
     pub per_second: Option<f64>,
     /// Age of the request to whose answer it was said.
-    pub sent_age: u32,
+    pub sent_age_millis: u32,
     /// Age of that answer.
-    pub received_age: u32,
+    pub received_age_millis: u32,
 }
 
 impl LimitReport {
     pub(super) fn of(limit: &KnownLimit, now: BootInstant) -> LimitReport {
         let age = |at| u32::try_from(now.since(at).as_millis()).unwrap_or(u32::MAX);
-        let Observed { sent, received } = limit.observed;
+        let ObservationWindow { sent, received } = limit.observed;
         let limited_until = limit.limited_until.filter(|_| limit.per_second.is_some());
         let received = limited_until.map_or(received, |until| received.max(until));
         LimitReport {
             per_second: limit.per_second,
-            sent_age: age(sent),
-            received_age: age(received),
+            sent_age_millis: age(sent),
+            received_age_millis: age(received),
         }
     }
 
@@ -51,9 +51,9 @@
     pub(super) fn read(&self, now: BootInstant) -> Option<KnownLimit> {
         let before = |time| now.checked_sub(time).unwrap_or_default();
         let age = |millis| Duration::from_millis(u64::from(millis));
-        let observed = Observed {
-            sent: before(age(self.sent_age) + MOST_TRANSIT),
-            received: before(age(self.received_age)),
+        let observed = ObservationWindow {
+            sent: before(age(self.sent_age_millis) + MOST_TRANSIT),
+            received: before(age(self.received_age_millis)),
         };
         let is_figure = self.per_second.is_none_or(|limit| limit.is_finite() && limit >= 0.0);
         is_figure.then(|| KnownLimit::new(self.per_second, observed))
@@ -61,7 +61,7 @@
 }
 
 impl KnownLimit {
-    pub(super) fn new(per_second: Option<f64>, observed: Observed) -> KnownLimit {
+    pub(super) fn new(per_second: Option<f64>, observed: ObservationWindow) -> KnownLimit {
         let limited_until = per_second.map(|_| observed.received);
         KnownLimit { per_second, observed, limited_until }
     }
@@ -82,7 +82,7 @@
         }
         if !is_older && self.per_second == word.per_second {
             let sent = known.sent.max(new.sent);
-            self.observed = Observed { sent, received: known.received.max(new.received) };
+            self.observed = ObservationWindow { sent, received: known.received.max(new.received) };
         }
         self.limited_until = limited_until;
     }
--- a/crates/cometmoor-core/src/gateway/signals/mod.rs
+++ b/crates/cometmoor-core/src/gateway/signals/mod.rs
@@ -64,7 +64,7 @@
 
 /// What an answer says of its server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct AnswerSignals {
+pub struct ResponseSignals {
     /// Its limit.
     pub limit: LimitSignal,
     /// Whether it is leaving.
@@ -75,7 +75,7 @@
 
 /// The span in which an answer's signals were true at some moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Observed {
+pub struct ObservationWindow {
     /// When its request was sent.
     pub sent: BootInstant,
     /// When its head was read.
@@ -94,7 +94,7 @@
     /// It is leaving.
     Leaving,
     /// It is to get nothing from this node for so long.
-    RestAsked(Duration),
+    RestRequested(Duration),
     /// That time is over.
     RestEnded,
 }
@@ -107,19 +107,21 @@
             | SignalChange::LimitChanged(_)
             | SignalChange::LimitLifted => "limit",
             SignalChange::Leaving => "leaving",
-            SignalChange::RestAsked(_) | SignalChange::RestEnded => "rest",
+            SignalChange::RestRequested(_) | SignalChange::RestEnded => "rest",
         }
     }
 
     /// Whether other nodes hear of it: a rest is between the server and this node.
     pub fn is_reported(&self) -> bool {
-        !matches!(self, SignalChange::RestAsked(_) | SignalChange::RestEnded)
+        !matches!(self, SignalChange::RestRequested(_) | SignalChange::RestEnded)
     }
 
     /// Name of what happened to it.
     pub fn event(&self) -> &'static str {
         match self {
-            SignalChange::LimitSet(_) | SignalChange::Leaving | SignalChange::RestAsked(_) => "set",
+            SignalChange::LimitSet(_) | SignalChange::Leaving | SignalChange::RestRequested(_) => {
+                "set"
+            }
             SignalChange::LimitChanged(_) => "changed",
             SignalChange::LimitLifted | SignalChange::RestEnded => "ended",
         }
@@ -147,9 +149,9 @@
     /// Its limit is used up.
     OverLimit {
         /// When this node asks for a part of it again.
-        asked_again: Duration,
+        recheck_after: Duration,
         /// When there is one for a caller who comes back.
-        room: Duration,
+        retry_after: Duration,
     },
 }
 
@@ -164,20 +166,20 @@
     }
 
     /// When the server is considered again.
-    pub fn lasts(self) -> Duration {
+    pub fn recheck_after(self) -> Duration {
         match self {
             Hold::Leaving => LEAVING_REMEMBERED_FOR,
             Hold::Resting(left) => left,
-            Hold::OverLimit { asked_again, .. } => asked_again,
+            Hold::OverLimit { recheck_after, .. } => recheck_after,
         }
     }
 
     /// When a caller should come back whom no other server can serve.
-    pub fn come_back(self) -> Duration {
+    pub fn retry_after(self) -> Duration {
         match self {
             Hold::Leaving => LEAVING_REMEMBERED_FOR,
             Hold::Resting(left) => left,
-            Hold::OverLimit { room, .. } => room,
+            Hold::OverLimit { retry_after, .. } => retry_after,
         }
     }
 }
@@ -186,7 +188,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
     /// The limit is used up; there is a part for a caller who comes back after this time.
-    UsedUp(Duration),
+    Exhausted(Duration),
     /// Nobody could tell, which says nothing of the limit; it is asked for again after this
     /// time.
     Undecided(Duration),
@@ -194,9 +196,9 @@
 
 impl Denial {
     /// When a caller should come back.
-    pub fn room(self) -> Duration {
+    pub fn retry_after(self) -> Duration {
         match self {
-            Denial::UsedUp(room) | Denial::Undecided(room) => room,
+            Denial::Exhausted(retry_after) | Denial::Undecided(retry_after) => retry_after,
         }
     }
 }
@@ -222,13 +224,13 @@
 
 impl SignalTable {
     /// Takes what an answer says of its server; returns what that changes.
-    pub fn note_answer(
+    pub fn note_response(
         &mut self,
         server: IncarnationHash,
-        signals: AnswerSignals,
-        observed: Observed,
+        signals: ResponseSignals,
+        observed: ObservationWindow,
     ) -> Vec<SignalChange> {
-        if signals == AnswerSignals::default() && !self.servers.contains_key(&server) {
+        if signals == ResponseSignals::default() && !self.servers.contains_key(&server) {
             return Vec::new();
         }
         let now = observed.received;
@@ -288,8 +290,8 @@
     /// Share of this node's requests that a server takes part in the choice for: less than 1
     /// for a while after its limit or rest has ended, so that not all nodes send at once what
     /// they have held back.
-    pub fn eased_share(&self, server: IncarnationHash, now: BootInstant) -> f64 {
-        self.servers.get(&server).map_or(1.0, |known| known.eased_share(now))
+    pub fn slow_start_share(&self, server: IncarnationHash, now: BootInstant) -> f64 {
+        self.servers.get(&server).map_or(1.0, |known| known.slow_start_share(now))
     }
 
     /// Takes that a server is leaving, by an answer to something else than a request; returns
--- a/crates/cometmoor-core/src/gateway/signals/server.rs
+++ b/crates/cometmoor-core/src/gateway/signals/server.rs
@@ -24,8 +24,8 @@
 /// A part of a limit that was refused.
 #[derive(Clone, Copy, Debug)]
 struct Denied {
-    asked_again: BootInstant,
-    room: BootInstant,
+    recheck_at: BootInstant,
+    retry_at: BootInstant,
 }
 
 /// What is known of one server.
@@ -79,9 +79,10 @@
         if let Some(until) = self.rest_until.filter(|until| now < *until) {
             return Some(Hold::Resting(until.since(now)));
         }
-        let denied = self.denied.filter(|denied| now < denied.asked_again)?;
-        let (asked_again, room) = (denied.asked_again.since(now), denied.room.since(now));
-        Some(Hold::OverLimit { asked_again, room })
+        let denied = self.denied.filter(|denied| now < denied.recheck_at)?;
+        let (recheck_after, retry_after) =
+            (denied.recheck_at.since(now), denied.retry_at.since(now));
+        Some(Hold::OverLimit { recheck_after, retry_after })
     }
 
     pub(super) fn take_leaving(&mut self, now: BootInstant) -> Option<SignalChange> {
@@ -100,7 +101,7 @@
             return None;
         }
         self.rest_until = Some(until);
-        Some(SignalChange::RestAsked(rest))
+        Some(SignalChange::RestRequested(rest))
     }
 
     pub(super) fn report(&self, server: IncarnationHash, now: BootInstant) -> SignalReport {
@@ -141,17 +142,17 @@
 
     /// Notes that a part of its limit was denied to one of so many nodes.
     pub(super) fn note_denied(&mut self, nodes: usize, denial: Denial, now: BootInstant) {
-        if matches!(denial, Denial::UsedUp(_)) {
+        if matches!(denial, Denial::Exhausted(_)) {
             self.ample_from = None;
         }
         let Some(limit) = self.quota() else { return };
-        let room = denial.room();
-        let asked_again = now + denied_for(&limit, nodes, room);
-        self.denied = Some(Denied { asked_again, room: now + room });
+        let retry_after = denial.retry_after();
+        let recheck_at = now + denied_for(&limit, nodes, retry_after);
+        self.denied = Some(Denied { recheck_at, retry_at: now + retry_after });
     }
 
     /// Share of requests that it takes part in the choice for.
-    pub(super) fn eased_share(&self, now: BootInstant) -> f64 {
+    pub(super) fn slow_start_share(&self, now: BootInstant) -> f64 {
         let ended = self.rest_until.filter(|until| now >= *until).max(self.eased);
         let Some(ended) = ended else { return 1.0 };
         let part = now.since(ended).as_secs_f64() / EASED_FOR.as_secs_f64();
--- a/crates/cometmoor-core/tests/gateway_planner.rs
+++ b/crates/cometmoor-core/tests/gateway_planner.rs
@@ -47,7 +47,7 @@
         models.iter().map(|model| Weights::model(&format!("m{model}"))).collect();
     PlannedServer {
         id: format!("s{index}").into(),
-        idle: true,
+        is_idle: true,
         reserved: held.clone(),
         held,
         ..PlannedServer::default()
@@ -87,7 +87,7 @@
         World {
             profile: profile(),
             servers,
-            demand: FleetDemand { is_known: true, ..FleetDemand::default() },
+            demand: FleetDemand { has_enough_history: true, ..FleetDemand::default() },
         }
     }
 
@@ -107,14 +107,17 @@
 
     /// Asks for a model: work in servers, at ten requests a second and server.
     fn ask(&mut self, model: &str, work: f64) {
-        self.demand.models.insert(model.to_owned(), ModelDemand { work, requests: 10.0 * work });
+        self.demand.models.insert(
+            model.to_owned(),
+            ModelDemand { offered_load: work, requests_per_second: 10.0 * work },
+        );
     }
 
     fn round(&mut self, left_open: u8) {
         let orders = plan(&self.profile, &self.servers, &self.demand, 5);
         for (number, planned) in orders.iter().enumerate() {
             let server = self.servers.iter_mut().find(|s| s.id == planned.server).unwrap();
-            assert!(server.idle, "{planned:?} to a busy server");
+            assert!(server.is_idle, "{planned:?} to a busy server");
             match planned.order.action {
                 Action::Load => server.reserved.insert(planned.order.weights.clone()),
                 Action::Unload => {
@@ -123,7 +126,7 @@
             };
             let server = self.servers.iter_mut().find(|s| s.id == planned.server).unwrap();
             if number % 4 == usize::from(left_open % 4) {
-                server.idle = false;
+                server.is_idle = false;
                 continue;
             }
             if planned.order.action == Action::Unload {
@@ -137,7 +140,7 @@
             server.held = server.reserved.clone();
         }
         for server in &mut self.servers {
-            server.idle = true;
+            server.is_idle = true;
             server.held = server.reserved.clone();
         }
     }
@@ -218,9 +221,9 @@
     for (leaving, loading) in [(true, false), (false, true)] {
         let mut servers = vec![server(0, &[0, 1, 2]), server(1, &[0, 3, 4]), server(2, &[5])];
         let weights = Weights::model("m0");
-        servers[1].idle = false;
+        servers[1].is_idle = false;
         if leaving {
-            servers[1].leaving = Some(weights.clone());
+            servers[1].unloading = Some(weights.clone());
         }
         if loading {
             servers[1].held.remove(&weights);
@@ -238,7 +241,7 @@
 #[test]
 fn full_batches_count_as_work_as_well_as_prompts() {
     let long_answers = ModelDemand::new(0.4, 1.6, 30.0);
-    assert!(long_answers.work > 1.0);
+    assert!(long_answers.offered_load > 1.0);
     let long_prompts = ModelDemand::new(0.9, 0.3, 7.0);
-    assert_eq!(long_prompts, ModelDemand { work: 0.9, requests: 7.0 });
+    assert_eq!(long_prompts, ModelDemand { offered_load: 0.9, requests_per_second: 7.0 });
 }
--- a/crates/cometmoor-core/tests/gateway_signals.rs
+++ b/crates/cometmoor-core/tests/gateway_signals.rs
@@ -6,8 +6,8 @@
 
 use bolero::TypeGenerator;
 use cometmoor_core::gateway::signals::{
-    AnswerSignals, Denial, Hold, IncarnationHash, LimitReport, LimitSignal, Observed, SignalChange,
-    SignalReport, SignalTable,
+    Denial, Hold, IncarnationHash, LimitReport, LimitSignal, ObservationWindow, ResponseSignals,
+    SignalChange, SignalReport, SignalTable,
 };
 use cometmoor_core::time::BootInstant;
 
@@ -17,29 +17,29 @@
     BootInstant::after_boot(Duration::from_millis(1_000_000 + millis))
 }
 
-fn observed(sent: u64, received: u64) -> Observed {
-    Observed { sent: at(sent), received: at(received) }
+fn observed(sent: u64, received: u64) -> ObservationWindow {
+    ObservationWindow { sent: at(sent), received: at(received) }
 }
 
 fn server() -> IncarnationHash {
     IncarnationHash::of("i-1@7")
 }
 
-fn limit(per_second: f64) -> AnswerSignals {
-    AnswerSignals { limit: LimitSignal::PerSecond(per_second), ..AnswerSignals::default() }
+fn limit(per_second: f64) -> ResponseSignals {
+    ResponseSignals { limit: LimitSignal::PerSecond(per_second), ..ResponseSignals::default() }
 }
 
 #[test]
 fn a_limit_is_noted_as_it_is_set_changed_and_lifted() {
     let mut table = SignalTable::default();
-    let none = AnswerSignals::default();
-    assert_eq!(table.note_answer(server(), none, observed(0, 10)), []);
-    let set = table.note_answer(server(), limit(2.0), observed(20, 30));
+    let none = ResponseSignals::default();
+    assert_eq!(table.note_response(server(), none, observed(0, 10)), []);
+    let set = table.note_response(server(), limit(2.0), observed(20, 30));
     assert_eq!(set, [SignalChange::LimitSet(2.0)]);
-    assert_eq!(table.note_answer(server(), limit(2.0), observed(40, 50)), []);
-    let changed = table.note_answer(server(), limit(3.0), observed(60, 70));
+    assert_eq!(table.note_response(server(), limit(2.0), observed(40, 50)), []);
+    let changed = table.note_response(server(), limit(3.0), observed(60, 70));
     assert_eq!(changed, [SignalChange::LimitChanged(3.0)]);
-    let lifted = table.note_answer(server(), none, observed(80, 90));
+    let lifted = table.note_response(server(), none, observed(80, 90));
     assert_eq!(lifted, [SignalChange::LimitLifted]);
     assert_eq!(table.counts(at(100)).limited, 0);
 }
@@ -48,33 +48,34 @@
 #[test]
 fn an_answer_that_may_be_older_does_not_lift_or_raise_a_limit() {
     let mut table = SignalTable::default();
-    table.note_answer(server(), limit(2.0), observed(100, 200));
-    assert_eq!(table.note_answer(server(), limit(9.0), observed(150, 250)), []);
-    assert_eq!(table.note_answer(server(), AnswerSignals::default(), observed(199, 260)), []);
-    let stricter = table.note_answer(server(), limit(1.0), observed(150, 270));
+    table.note_response(server(), limit(2.0), observed(100, 200));
+    assert_eq!(table.note_response(server(), limit(9.0), observed(150, 250)), []);
+    assert_eq!(table.note_response(server(), ResponseSignals::default(), observed(199, 260)), []);
+    let stricter = table.note_response(server(), limit(1.0), observed(150, 270));
     assert_eq!(stricter, [SignalChange::LimitChanged(1.0)]);
-    let lifted = table.note_answer(server(), AnswerSignals::default(), observed(270, 300));
+    let lifted = table.note_response(server(), ResponseSignals::default(), observed(270, 300));
     assert_eq!(lifted, [SignalChange::LimitLifted]);
-    assert_eq!(table.note_answer(server(), limit(1.0), observed(10, 269)), [], "it is older");
+    assert_eq!(table.note_response(server(), limit(1.0), observed(10, 269)), [], "it is older");
 }
 
 #[test]
 fn a_limit_that_is_no_number_changes_nothing() {
     let mut table = SignalTable::default();
-    let unreadable = AnswerSignals { limit: LimitSignal::Unreadable, ..AnswerSignals::default() };
-    assert_eq!(table.note_answer(server(), unreadable, observed(0, 10)), []);
-    table.note_answer(server(), limit(2.0), observed(20, 30));
-    assert_eq!(table.note_answer(server(), unreadable, observed(40, 50)), []);
+    let unreadable =
+        ResponseSignals { limit: LimitSignal::Unreadable, ..ResponseSignals::default() };
+    assert_eq!(table.note_response(server(), unreadable, observed(0, 10)), []);
+    table.note_response(server(), limit(2.0), observed(20, 30));
+    assert_eq!(table.note_response(server(), unreadable, observed(40, 50)), []);
     assert_eq!(table.counts(at(60)).limited, 1);
 }
 
 #[test]
 fn a_server_that_leaves_does_so_for_its_life() {
     let mut table = SignalTable::default();
-    let leaving = AnswerSignals { is_leaving: true, ..AnswerSignals::default() };
-    let heard = table.note_answer(server(), leaving, observed(0, 10));
+    let leaving = ResponseSignals { is_leaving: true, ..ResponseSignals::default() };
+    let heard = table.note_response(server(), leaving, observed(0, 10));
     assert_eq!(heard, [SignalChange::Leaving]);
-    table.note_answer(server(), AnswerSignals::default(), observed(20, 30));
+    table.note_response(server(), ResponseSignals::default(), observed(20, 30));
     table.tick(at(600_000));
     assert_eq!(table.counts(at(600_000)).leaving, 1);
 }
@@ -82,14 +83,14 @@
 #[test]
 fn a_rest_goes_on_until_the_last_one_asked_for_ends() {
     let mut table = SignalTable::default();
-    let rest = |millis| AnswerSignals {
+    let rest = |millis| ResponseSignals {
         rest: Some(Duration::from_millis(millis)),
-        ..AnswerSignals::default()
+        ..ResponseSignals::default()
     };
-    let asked = table.note_answer(server(), rest(3000), observed(0, 10));
-    assert_eq!(asked, [SignalChange::RestAsked(Duration::from_millis(3000))]);
-    assert_eq!(table.note_answer(server(), rest(500), observed(20, 30)), []);
-    assert_eq!(table.note_answer(server(), rest(0), observed(20, 30)), []);
+    let asked = table.note_response(server(), rest(3000), observed(0, 10));
+    assert_eq!(asked, [SignalChange::RestRequested(Duration::from_millis(3000))]);
+    assert_eq!(table.note_response(server(), rest(500), observed(20, 30)), []);
+    assert_eq!(table.note_response(server(), rest(0), observed(20, 30)), []);
     assert_eq!(table.tick(at(3000)), []);
     assert_eq!(table.counts(at(3000)).resting, 1);
     assert_eq!(table.hold(server(), at(3000)), Some(Hold::Resting(Duration::from_millis(10))));
@@ -103,16 +104,16 @@
 #[test]
 fn a_limit_and_its_end_are_heard_from_other_nodes() {
     let (mut first, mut second) = (SignalTable::default(), SignalTable::default());
-    first.note_answer(server(), limit(2.0), observed(0, 10));
+    first.note_response(server(), limit(2.0), observed(0, 10));
     let reports = first.next_reports(at(100));
     let changes = second.merge(&reports, at(120));
     assert_eq!(changes, [(server(), SignalChange::LimitSet(2.0))]);
     assert_eq!(second.limit(server()).unwrap().limit.per_second, 2.0);
     assert_eq!(second.merge(&reports, at(140)), [], "it is told again");
-    first.note_answer(server(), AnswerSignals::default(), observed(200, 210));
+    first.note_response(server(), ResponseSignals::default(), observed(200, 210));
     let early = first.next_reports(at(220));
     assert_eq!(second.merge(&early, at(230)), [], "it may be older, for what is known here");
-    first.note_answer(server(), AnswerSignals::default(), observed(900, 910));
+    first.note_response(server(), ResponseSignals::default(), observed(900, 910));
     let late = first.next_reports(at(920));
     assert_eq!(second.merge(&late, at(930)), [(server(), SignalChange::LimitLifted)]);
     assert!(second.limit(server()).is_none());
@@ -123,7 +124,11 @@
     let mut table = SignalTable::default();
     let report = |per_second| SignalReport {
         server: server(),
-        limit: Some(LimitReport { per_second: Some(per_second), sent_age: 0, received_age: 0 }),
+        limit: Some(LimitReport {
+            per_second: Some(per_second),
+            sent_age_millis: 0,
+            received_age_millis: 0,
+        }),
         is_leaving: false,
     };
     for figure in [f64::NAN, f64::INFINITY, -1.0] {
@@ -135,7 +140,11 @@
 #[test]
 fn a_report_from_before_the_start_of_the_machine_counts() {
     let mut table = SignalTable::default();
-    let limit = Some(LimitReport { per_second: Some(1.0), sent_age: 9_000, received_age: 8_900 });
+    let limit = Some(LimitReport {
+        per_second: Some(1.0),
+        sent_age_millis: 9_000,
+        received_age_millis: 8_900,
+    });
     let report = SignalReport { server: server(), limit, is_leaving: true };
     let started = BootInstant::after_boot(Duration::from_millis(400));
     let changes = table.merge(&[report], started).into_iter().map(|(_, change)| change);
@@ -148,7 +157,7 @@
     let mut table = SignalTable::default();
     for number in 0..100 {
         let server = IncarnationHash::of(&format!("i-{number}"));
-        table.note_answer(server, limit(1.0), observed(0, 10));
+        table.note_response(server, limit(1.0), observed(0, 10));
     }
     let mut carried = 0;
     for _ in 0..100 {
@@ -164,26 +173,26 @@
 #[test]
 fn a_denied_server_is_held_until_there_may_be_room() {
     let mut table = SignalTable::default();
-    table.note_answer(server(), limit(1.0), observed(0, 10));
+    table.note_response(server(), limit(1.0), observed(0, 10));
     assert!(table.hold(server(), at(20)).is_none());
-    table.note_denied(server(), 4, Denial::UsedUp(Duration::from_secs(3)), at(20));
-    let asked_again = Duration::from_millis(500);
-    let room = Duration::from_secs(3);
-    assert_eq!(table.hold(server(), at(20)), Some(Hold::OverLimit { asked_again, room }));
+    table.note_denied(server(), 4, Denial::Exhausted(Duration::from_secs(3)), at(20));
+    let recheck_after = Duration::from_millis(500);
+    let retry_after = Duration::from_secs(3);
+    assert_eq!(table.hold(server(), at(20)), Some(Hold::OverLimit { recheck_after, retry_after }));
     assert!(table.hold(server(), at(520)).is_none());
-    table.note_denied(server(), 4, Denial::UsedUp(Duration::from_secs(3)), at(600));
-    table.note_answer(server(), AnswerSignals::default(), observed(610, 620));
+    table.note_denied(server(), 4, Denial::Exhausted(Duration::from_secs(3)), at(600));
+    table.note_response(server(), ResponseSignals::default(), observed(610, 620));
     assert!(table.hold(server(), at(630)).is_none(), "the limit has ended");
 }
 
 #[test]
 fn that_a_server_leaves_is_heard_from_other_nodes_and_stays() {
     let (mut first, mut second) = (SignalTable::default(), SignalTable::default());
-    let leaving = AnswerSignals { is_leaving: true, ..AnswerSignals::default() };
-    first.note_answer(server(), leaving, observed(0, 10));
+    let leaving = ResponseSignals { is_leaving: true, ..ResponseSignals::default() };
+    first.note_response(server(), leaving, observed(0, 10));
     let reports = first.next_reports(at(20));
     assert_eq!(second.merge(&reports, at(30)), [(server(), SignalChange::Leaving)]);
-    second.note_answer(server(), AnswerSignals::default(), observed(40, 50));
+    second.note_response(server(), ResponseSignals::default(), observed(40, 50));
     assert_eq!(second.hold(server(), at(60)), Some(Hold::Leaving));
     assert!(second.is_leaving(server()));
     let next_life = IncarnationHash::of("i-1@8");
@@ -193,18 +202,18 @@
 #[test]
 fn a_server_comes_back_into_use_by_and_by() {
     let mut table = SignalTable::default();
-    assert_eq!(table.eased_share(server(), at(0)), 1.0);
+    assert_eq!(table.slow_start_share(server(), at(0)), 1.0);
     let rest = Some(Duration::from_millis(1000));
-    let asks = AnswerSignals { rest, ..AnswerSignals::default() };
-    table.note_answer(server(), asks, observed(0, 10));
+    let asks = ResponseSignals { rest, ..ResponseSignals::default() };
+    table.note_response(server(), asks, observed(0, 10));
     let shares: Vec<f64> =
-        [1010, 1510, 2010, 3010].map(|millis| table.eased_share(server(), at(millis))).into();
+        [1010, 1510, 2010, 3010].map(|millis| table.slow_start_share(server(), at(millis))).into();
     assert!(shares.is_sorted() && shares[0] < 0.1 && shares[3] == 1.0, "{shares:?}");
     table.tick(at(1600));
-    assert_eq!(table.eased_share(server(), at(2010)), shares[2], "the same after a tick");
-    table.note_answer(server(), limit(1.0), observed(5000, 5010));
-    table.note_answer(server(), AnswerSignals::default(), observed(5020, 5030));
-    assert!(table.eased_share(server(), at(5030)) < 0.1);
+    assert_eq!(table.slow_start_share(server(), at(2010)), shares[2], "the same after a tick");
+    table.note_response(server(), limit(1.0), observed(5000, 5010));
+    table.note_response(server(), ResponseSignals::default(), observed(5020, 5030));
+    assert!(table.slow_start_share(server(), at(5030)) < 0.1);
 }
 
 /// Each end of a limit that came and went once began the easing anew.
@@ -214,15 +223,15 @@
     let mut at_millis = 0;
     let mut share_after = |per_second: f64, decide: &dyn Fn(&mut SignalTable)| {
         at_millis += 5000;
-        table.note_answer(server(), limit(per_second), observed(at_millis, at_millis + 10));
+        table.note_response(server(), limit(per_second), observed(at_millis, at_millis + 10));
         decide(&mut table);
         let lifted = observed(at_millis + 20, at_millis + 30);
-        table.note_answer(server(), AnswerSignals::default(), lifted);
-        table.eased_share(server(), at(at_millis + 30))
+        table.note_response(server(), ResponseSignals::default(), lifted);
+        table.slow_start_share(server(), at(at_millis + 30))
     };
     let granted = |table: &mut SignalTable| table.note_granted(server());
     let denied = |table: &mut SignalTable| {
-        table.note_denied(server(), 3, Denial::UsedUp(Duration::from_millis(100)), at(0));
+        table.note_denied(server(), 3, Denial::Exhausted(Duration::from_millis(100)), at(0));
     };
     let undecided = |table: &mut SignalTable| {
         table.note_denied(server(), 3, Denial::Undecided(Duration::from_millis(100)), at(0));
@@ -311,9 +320,9 @@
 
     fn answer(&mut self, node: usize, sent_ago: u64, written_ago: u64) {
         let said = self.limit_at(self.now - written_ago);
-        let signals = said.map_or(AnswerSignals::default(), limit);
+        let signals = said.map_or(ResponseSignals::default(), limit);
         let span = observed(self.now - sent_ago, self.now);
-        self.nodes[node].note_answer(server(), signals, span);
+        self.nodes[node].note_response(server(), signals, span);
         if said.is_some() {
             self.read_limit[node] = Some(self.now);
         }
--- a/crates/cometmoor-gateway/src/control/leader/engine.rs
+++ b/crates/cometmoor-gateway/src/control/leader/engine.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cometmoor_core::gateway::orders::{Action, ServerLedger, ServerOrder, ServerReport, Weights};
-use cometmoor_core::gateway::planner::SHORTEST_STAY;
+use cometmoor_core::gateway::planner::MIN_RESIDENCY;
 use cometmoor_core::gateway::registry::ServerRecord;
 use cometmoor_core::time::Timestamp;
 
@@ -133,7 +133,7 @@
 
 /// Models that the server got lately.
 pub(super) fn fresh_models(engine: &Engine, now: Timestamp) -> BTreeSet<String> {
-    let fresh = engine.loaded.iter().filter(|(_, loaded)| now.since(**loaded) < SHORTEST_STAY);
+    let fresh = engine.loaded.iter().filter(|(_, loaded)| now.since(**loaded) < MIN_RESIDENCY);
     fresh.map(|(model, _)| model.clone()).collect()
 }
 
--- a/crates/cometmoor-gateway/src/control/leader/mod.rs
+++ b/crates/cometmoor-gateway/src/control/leader/mod.rs
@@ -17,7 +17,8 @@
 use cometmoor_core::gateway::load_rate::LoadRate;
 use cometmoor_core::gateway::orders::{Action, NextStep, Weights};
 use cometmoor_core::gateway::planner::{
-    DEMAND_KNOWN, FleetDemand, ModelDemand, PlannedOrder, PlannedServer, ROUND, WITHDRAWAL, plan,
+    FleetDemand, MAX_PLAN_INTERVAL, MIN_DEMAND_HISTORY, ModelDemand, PlannedOrder, PlannedServer,
+    WITHDRAWAL_DELAY, plan,
 };
 use cometmoor_core::gateway::registry::{ServerRecord, ServerState};
 use cometmoor_core::gateway::store_position::StoreEra;
@@ -202,7 +203,7 @@
         loop {
             self.round().await;
             clock::sleep(SHORTEST_ROUND).await;
-            let _ = clock::timeout(ROUND, self.context.plan_wanted.notified()).await;
+            let _ = clock::timeout(MAX_PLAN_INTERVAL, self.context.plan_wanted.notified()).await;
         }
     }
 
@@ -286,7 +287,7 @@
         let now = self.now();
         let mut due = Vec::new();
         self.state.borrow_mut().withdrawals.retain(|withdrawal| {
-            let over = now.since(withdrawal.since) >= WITHDRAWAL;
+            let over = now.since(withdrawal.since) >= WITHDRAWAL_DELAY;
             if over {
                 due.push((withdrawal.server.clone(), withdrawal.order.clone()));
             }
@@ -345,7 +346,13 @@
             {
                 engine.promised = None;
             }
-            self.first_order(planned.server, planned.order, expected_count, planned.takes, token);
+            self.first_order(
+                planned.server,
+                planned.order,
+                expected_count,
+                planned.expected_duration,
+                token,
+            );
         }
     }
 
@@ -387,8 +394,8 @@
     async fn demand(&self, profile: &EngineProfile) -> Option<FleetDemand> {
         let view = self.fleet.send(GetDemand).await.ok()?;
         let now = view.now;
-        let watched = view.first_demand.is_some_and(|first| now.since(first) >= DEMAND_KNOWN);
-        let mut demand = FleetDemand { is_known: watched, ..FleetDemand::default() };
+        let watched = view.first_demand.is_some_and(|first| now.since(first) >= MIN_DEMAND_HISTORY);
+        let mut demand = FleetDemand { has_enough_history: watched, ..FleetDemand::default() };
         for model in &profile.models {
             let key = model_key(&model.name, None);
             let asked = ModelDemand::new(
@@ -402,7 +409,7 @@
                 let key = model_key(&model.name, Some(&adapter));
                 let weights = Weights { model: model.name.clone(), adapter: Some(adapter) };
                 if view.waited_for.contains(&key) {
-                    demand.waited_for.insert(weights.clone());
+                    demand.awaited_adapters.insert(weights.clone());
                 }
                 demand.adapters.insert(weights, view.rates.requests(key, now));
             }
@@ -426,15 +433,15 @@
                 let (held, reserved) = believed_weights(engine);
                 PlannedServer {
                     id: id.clone(),
-                    idle: idle && !engine.calling && !withdrawing(id),
+                    is_idle: idle && !engine.calling && !withdrawing(id),
                     held,
                     reserved,
                     in_host_memory: engine.in_host_memory.clone(),
                     on_disk: engine.on_disk.clone(),
-                    fresh: fresh_models(engine, now),
-                    leaving: leaving_weights(engine, &state.withdrawals),
-                    loading_left: engine.ledger.time_left(now),
-                    promised: engine.promised.clone(),
+                    recently_loaded: fresh_models(engine, now),
+                    unloading: leaving_weights(engine, &state.withdrawals),
+                    load_time_left: engine.ledger.time_left(now),
+                    pending_load: engine.promised.clone(),
                 }
             })
             .collect();
@@ -453,7 +460,7 @@
     let action = format!("{:?}", planned.order.action);
     let model = &*planned.order.weights.model;
     let makes_room_for = planned.makes_room_for.as_deref().unwrap_or("-");
-    let takes_millis = planned.takes.as_millis() as u64;
+    let takes_millis = planned.expected_duration.as_millis() as u64;
     let from_store = planned.from_store;
     info!("[leader] a move is planned", kv: { server, action, model, makes_room_for, from_store, takes_millis, loads_left });
 }
--- a/crates/cometmoor-gateway/src/dialect.rs
+++ b/crates/cometmoor-gateway/src/dialect.rs
@@ -7,7 +7,7 @@
 
 use cometmoor_core::gateway::configuration::GatewayConfiguration;
 use cometmoor_core::gateway::registry::ServerRecord;
-use cometmoor_core::gateway::signals::AnswerSignals;
+use cometmoor_core::gateway::signals::ResponseSignals;
 use cometmoor_core::keys::PresentedKey;
 
 use crate::http::client::{Answer, Call};
@@ -149,7 +149,7 @@
     /// Load of the server.
     pub load: Option<ToldLoad>,
     /// What it says of its server; nothing where that may be another server.
-    pub signals: Option<AnswerSignals>,
+    pub signals: Option<ResponseSignals>,
 }
 
 /// An item of the store.
--- a/crates/cometmoor-gateway/src/forward/gate.rs
+++ b/crates/cometmoor-gateway/src/forward/gate.rs
@@ -79,14 +79,14 @@
                 // It may have been heard meanwhile that the server takes nothing.
                 return signals.hold(key, clock::now()).map_or(Ok(permit), Err);
             }
-            Ok(Decision::Refused(room)) => Denial::UsedUp(room),
+            Ok(Decision::Refused(room)) => Denial::Exhausted(room),
             Ok(Decision::Undecided | Decision::Pending(_)) | Err(_) => {
                 Denial::Undecided(UNDECIDED_FOR)
             }
         };
         signals.note_denied(key, self.traffic.board.fleet.load().nodes_heard, denial);
-        let room = denial.room();
-        let denied = Hold::OverLimit { asked_again: room, room };
+        let room = denial.retry_after();
+        let denied = Hold::OverLimit { recheck_after: room, retry_after: room };
         Err(signals.hold(key, clock::now()).unwrap_or(denied))
     }
 }
--- a/crates/cometmoor-gateway/src/forward/mod.rs
+++ b/crates/cometmoor-gateway/src/forward/mod.rs
@@ -224,7 +224,7 @@
                 }
                 Sent::Held(hold) => {
                     let refusal = Refusal::ServersHeld;
-                    return self.no_server(kept_error, &stream, refusal, hold.come_back()).await;
+                    return self.no_server(kept_error, &stream, refusal, hold.retry_after()).await;
                 }
                 Sent::Finished(finish) => return finish,
                 Sent::Moved(continuation) => moved = Some(continuation),
--- a/crates/cometmoor-gateway/src/forward/pick.rs
+++ b/crates/cometmoor-gateway/src/forward/pick.rs
@@ -121,8 +121,8 @@
             hold.is_none()
         });
         if able.is_empty()
-            && let Some(lasts) = holds.iter().map(|hold| hold.lasts()).min()
-            && let Some(come_back) = holds.iter().map(|hold| hold.come_back()).min()
+            && let Some(lasts) = holds.iter().map(|hold| hold.recheck_after()).min()
+            && let Some(come_back) = holds.iter().map(|hold| hold.retry_after()).min()
         {
             self.estimate.set(Estimate { held: holds.len(), ..Estimate::default() });
             return Found::Held { lasts, come_back };
--- a/crates/cometmoor-gateway/src/forward/story.rs
+++ b/crates/cometmoor-gateway/src/forward/story.rs
@@ -49,7 +49,7 @@
             route = &*self.route.name,
             server,
             reason = hold.name(),
-            lasts_millis = hold.lasts().as_millis() as u64,
+            lasts_millis = hold.recheck_after().as_millis() as u64,
             age_millis = clock::elapsed(self.received).as_millis() as u64,
         });
     }
--- a/crates/cometmoor-gateway/src/signals.rs
+++ b/crates/cometmoor-gateway/src/signals.rs
@@ -4,7 +4,7 @@
 
 use cometmoor_core::gateway::quota::VersionedLimit;
 use cometmoor_core::gateway::signals::{
-    AnswerSignals, Denial, Hold, IncarnationHash, Observed, SignalChange, SignalCounts,
+    Denial, Hold, IncarnationHash, ObservationWindow, ResponseSignals, SignalChange, SignalCounts,
     SignalReport, SignalTable,
 };
 use cometmoor_core::time::BootInstant;
@@ -38,12 +38,12 @@
         &self,
         incarnation: &str,
         request: &str,
-        signals: AnswerSignals,
+        signals: ResponseSignals,
         sent: BootInstant,
     ) -> bool {
         let server = IncarnationHash::of(incarnation);
         let changes = self.with(|table, received| {
-            table.note_answer(server, signals, Observed { sent, received })
+            table.note_response(server, signals, ObservationWindow { sent, received })
         });
         let is_reported = changes.iter().any(SignalChange::is_reported);
         for change in changes {
@@ -94,7 +94,7 @@
 
     /// Share of this node's requests that a server takes part in the choice for.
     pub fn eased_share(&self, server: IncarnationHash, now: BootInstant) -> f64 {
-        self.with(|table, _| table.eased_share(server, now))
+        self.with(|table, _| table.slow_start_share(server, now))
     }
 
     /// The limit that a server names.
@@ -126,7 +126,7 @@
             SignalChange::Leaving => {
                 info!("[signals] a server says that it leaves", kv: { server, source, from });
             }
-            SignalChange::RestAsked(rest) => {
+            SignalChange::RestRequested(rest) => {
                 let rest_millis = rest.as_millis() as u64;
                 info!("[signals] a server asks for a rest", kv: { server, rest_millis, source, from });
             }
--- a/crates/cometmoor-gateway/tests/signals_spread.rs
+++ b/crates/cometmoor-gateway/tests/signals_spread.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddrV4;
 
 use cometmoor_core::gateway::signals::{
-    AnswerSignals, IncarnationHash, LimitSignal, Observed, SignalTable,
+    IncarnationHash, LimitSignal, ObservationWindow, ResponseSignals, SignalTable,
 };
 use cometmoor_core::time::Timestamp;
 
@@ -32,18 +32,18 @@
 }
 
 /// Lets a node read an answer whose request was sent 50 ms ago.
-fn reads(world: &mut World, node: SocketAddrV4, signals: AnswerSignals) {
+fn reads(world: &mut World, node: SocketAddrV4, signals: ResponseSignals) {
     let received = since_boot(Timestamp(world.now));
     let sent = since_boot(Timestamp(world.now - 50));
     let node = world.nodes.get_mut(&node).unwrap();
-    node.signals.note_answer(server(), signals, Observed { sent, received });
+    node.signals.note_response(server(), signals, ObservationWindow { sent, received });
 }
 
 /// Milliseconds until all nodes of some know something; none within the time.
 fn known_after(
     world: &mut World,
     within: u64,
-    answers: Option<(SocketAddrV4, AnswerSignals)>,
+    answers: Option<(SocketAddrV4, ResponseSignals)>,
     knows: impl Fn(SocketAddrV4, &SignalTable) -> bool,
 ) -> Option<u64> {
     let began = world.now;
@@ -61,8 +61,8 @@
     None
 }
 
-fn leaving() -> AnswerSignals {
-    AnswerSignals { is_leaving: true, ..AnswerSignals::default() }
+fn leaving() -> ResponseSignals {
+    ResponseSignals { is_leaving: true, ..ResponseSignals::default() }
 }
 
 #[test]
@@ -118,10 +118,10 @@
         let mut world = fleet(nodes, 10);
         let addresses: Vec<SocketAddrV4> = world.nodes.keys().copied().collect();
         let limited =
-            AnswerSignals { limit: LimitSignal::PerSecond(1.0), ..AnswerSignals::default() };
+            ResponseSignals { limit: LimitSignal::PerSecond(1.0), ..ResponseSignals::default() };
         addresses.iter().for_each(|node| reads(&mut world, *node, limited));
         world.run(1);
-        let end = (addresses[0], AnswerSignals::default());
+        let end = (addresses[0], ResponseSignals::default());
         let after = known_after(&mut world, END_KNOWN_BY, Some(end), |_, signals| {
             signals.limit(server()).is_none()
         });
--- a/crates/cometmoor-lab/src/emulator/placement.rs
+++ b/crates/cometmoor-lab/src/emulator/placement.rs
@@ -9,7 +9,7 @@
 use cometmoor_core::gateway::load_rate::LoadRate;
 use cometmoor_core::gateway::orders::{Action, Weights};
 use cometmoor_core::gateway::planner::{
-    DEMAND_KNOWN, FleetDemand, ModelDemand, PlannedOrder, PlannedServer, SHORTEST_STAY, plan,
+    FleetDemand, MIN_DEMAND_HISTORY, MIN_RESIDENCY, ModelDemand, PlannedOrder, PlannedServer, plan,
 };
 use cometmoor_core::time::Timestamp;
 
@@ -160,7 +160,7 @@
     fn take_order(&mut self, order: &PlannedOrder, now: Timestamp) -> Option<Move> {
         let engine = order.server.parse().ok()?;
         let model = self.model_index(&order.order.weights.model)?;
-        let PlannedOrder { takes, from_store, .. } = *order;
+        let PlannedOrder { expected_duration: takes, from_store, .. } = *order;
         if from_store {
             self.load_rate.record(now);
         }
@@ -179,7 +179,7 @@
     }
 
     fn observed(&self, now: Timestamp) -> FleetDemand {
-        let known = self.first_demand.is_some_and(|first| now.since(first) >= DEMAND_KNOWN);
+        let known = self.first_demand.is_some_and(|first| now.since(first) >= MIN_DEMAND_HISTORY);
         let batch = f64::from(self.profile.batch_slots);
         self.demand(known, |model| {
             let slots = self.slots.rate(model, now) / batch;
@@ -212,13 +212,13 @@
     fn demand(&self, is_known: bool, of: impl Fn(ModelIndex) -> ModelDemand) -> FleetDemand {
         let named = |model: ModelIndex| (model_name(model), of(model));
         let models = (0..self.profile.models.len()).map(named).collect();
-        FleetDemand { is_known, models, ..FleetDemand::default() }
+        FleetDemand { has_enough_history: is_known, models, ..FleetDemand::default() }
     }
 }
 
 /// Models that the server got lately.
 fn fresh_models(engine: &Engine, now: Micros) -> BTreeSet<String> {
-    let fresh = engine.loaded.iter().filter(|(_, loaded)| now - **loaded < micros(SHORTEST_STAY));
+    let fresh = engine.loaded.iter().filter(|(_, loaded)| now - **loaded < micros(MIN_RESIDENCY));
     fresh.map(|(model, _)| model_name(*model)).collect()
 }
 
@@ -229,14 +229,14 @@
     let left = engine.loading.map_or(0, |loading| (loading.ready - now).max(0));
     PlannedServer {
         id: index.to_string().into(),
-        idle: engine.leaving.is_none() && engine.loading.is_none(),
+        is_idle: engine.leaving.is_none() && engine.loading.is_none(),
         reserved: held.iter().cloned().chain(loading.map(weights)).collect(),
         held,
         in_host_memory: engine.in_host_memory.iter().map(|model| model_name(*model)).collect(),
         on_disk: engine.on_disk.iter().map(|model| model_name(*model)).collect(),
-        fresh: fresh_models(engine, now),
-        loading_left: Duration::from_micros(left as u64),
-        leaving: engine.leaving.map(weights),
-        promised: engine.promised.map(model_name),
+        recently_loaded: fresh_models(engine, now),
+        load_time_left: Duration::from_micros(left as u64),
+        unloading: engine.leaving.map(weights),
+        pending_load: engine.promised.map(model_name),
     }
 }
--- a/crates/cometmoor-lab/src/emulator/world/placement.rs
+++ b/crates/cometmoor-lab/src/emulator/world/placement.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cometmoor_core::gateway::admission::COME_BACK;
-use cometmoor_core::gateway::planner::{ROUND, WITHDRAWAL};
+use cometmoor_core::gateway::planner::{MAX_PLAN_INTERVAL, WITHDRAWAL_DELAY};
 
 use super::super::arrivals::{Micros, micros};
 use super::super::engine::{Loading, Run};
@@ -33,7 +33,7 @@
         for planned in moves {
             self.order(planned);
         }
-        self.after(micros(ROUND), Event::Plan);
+        self.after(micros(MAX_PLAN_INTERVAL), Event::Plan);
     }
 
     pub(super) fn order(&mut self, planned: Move) {
@@ -60,7 +60,7 @@
                 target.promised = makes_room_for;
                 let epoch = target.epoch;
                 self.after(RUNS_MOVE_AFTER, Event::MoveRuns { engine, epoch, model });
-                self.after(micros(WITHDRAWAL), Event::Unload { engine, epoch });
+                self.after(micros(WITHDRAWAL_DELAY), Event::Unload { engine, epoch });
             }
         }
     }
