--- a/crates/cometmoor-core/src/gateway/quota/bucket.rs
+++ b/crates/cometmoor-core/src/gateway/quota/bucket.rs
@@ -11,42 +11,42 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TokenBucket {
     level: f64,
-    most: f64,
+    capacity: f64,
     per_second: f64,
     at: BootInstant,
 }
 
 impl TokenBucket {
     /// A bucket with so many tokens in it.
-    pub fn new(level: f64, most: f64, per_second: f64, now: BootInstant) -> TokenBucket {
-        TokenBucket { level: level.min(most), most, per_second, at: now }
+    pub fn new(level: f64, capacity: f64, per_second: f64, now: BootInstant) -> TokenBucket {
+        TokenBucket { level: level.min(capacity), capacity, per_second, at: now }
     }
 
     /// Tokens that are there; below zero where more were spent.
     pub fn level(&mut self, now: BootInstant) -> f64 {
         let come = self.per_second * now.since(self.at).as_secs_f64();
-        self.level = (self.level + come).min(self.most);
+        self.level = (self.level + come).min(self.capacity);
         self.at = self.at.max(now);
         self.level
     }
 
     /// Most tokens that it holds.
-    pub fn most(&self) -> f64 {
-        self.most
+    pub fn capacity(&self) -> f64 {
+        self.capacity
     }
 
     /// Changes the rate and the most.
-    pub fn set(&mut self, most: f64, per_second: f64, now: BootInstant) {
+    pub fn reconfigure(&mut self, capacity: f64, per_second: f64, now: BootInstant) {
         self.level(now);
-        self.most = most;
+        self.capacity = capacity;
         self.per_second = per_second;
-        self.level = self.level.min(most);
+        self.level = self.level.min(capacity);
     }
 
     /// Changes the most.
-    pub fn set_most(&mut self, most: f64) {
-        self.most = most;
-        self.level = self.level.min(most);
+    pub fn set_capacity(&mut self, capacity: f64) {
+        self.capacity = capacity;
+        self.level = self.level.min(capacity);
     }
 
     /// Whether so many tokens are there.
@@ -60,12 +60,12 @@
     }
 
     /// Puts tokens back that were not used.
-    pub fn give_back(&mut self, tokens: f64) {
-        self.level = (self.level + tokens).min(self.most);
+    pub fn refund(&mut self, tokens: f64) {
+        self.level = (self.level + tokens).min(self.capacity);
     }
 
     /// Time until so many tokens were there if none were spent and the bucket held any number.
-    pub fn time_to_earn(&mut self, tokens: f64, now: BootInstant) -> Duration {
+    pub fn time_to_accrue(&mut self, tokens: f64, now: BootInstant) -> Duration {
         let lacks = tokens - self.level(now);
         if lacks <= 0.0 {
             return Duration::ZERO;
@@ -74,7 +74,7 @@
     }
 
     /// Time until so many tokens are there, or the bucket is full.
-    pub fn time_until(&mut self, tokens: f64, now: BootInstant) -> Duration {
-        self.time_to_earn(tokens.min(self.most), now)
+    pub fn time_until_available(&mut self, tokens: f64, now: BootInstant) -> Duration {
+        self.time_to_accrue(tokens.min(self.capacity), now)
     }
 }
--- a/crates/cometmoor-core/src/gateway/quota/ranks.rs
+++ b/crates/cometmoor-core/src/gateway/quota/fleet_view.rs
@@ -22,7 +22,7 @@
 
 /// The nodes as one of them sees them.
 #[derive(Clone, Debug)]
-pub struct FleetRanks {
+pub struct FleetView {
     own: SocketAddrV4,
     /// Nodes that all know from the start, if they are there.
     seeds: Vec<SocketAddrV4>,
@@ -47,10 +47,10 @@
     xxhash_rust::xxh3::xxh3_64(&bytes)
 }
 
-impl FleetRanks {
+impl FleetView {
     /// A node that knows no other one but the seeds.
-    pub fn new(own: SocketAddrV4, seeds: Vec<SocketAddrV4>, now: BootInstant) -> FleetRanks {
-        FleetRanks {
+    pub fn new(own: SocketAddrV4, seeds: Vec<SocketAddrV4>, now: BootInstant) -> FleetView {
+        FleetView {
             own,
             seeds,
             alive: vec![own],
@@ -68,7 +68,7 @@
     }
 
     /// Takes the nodes that are there.
-    pub fn set(&mut self, alive: &[SocketAddrV4], now: BootInstant) {
+    pub fn set_alive(&mut self, alive: &[SocketAddrV4], now: BootInstant) {
         if alive.len() as f64 > self.grown.0 as f64 * STEADY_GROWTH {
             self.grown = (alive.len(), now);
         }
@@ -84,31 +84,31 @@
     }
 
     /// Notes that this node has slept: it has to watch the others anew.
-    pub fn restart(&mut self, now: BootInstant) {
+    pub fn reset_stability(&mut self, now: BootInstant) {
         self.began = now;
         self.grown = (self.alive.len(), now);
         self.silent.clear();
     }
 
     /// Whether this node has watched the others for long enough to lend.
-    pub fn is_settled(&self, now: BootInstant) -> bool {
+    pub fn is_stable(&self, now: BootInstant) -> bool {
         now.since(self.began) >= SETTLES_FOR && now.since(self.grown.1) >= STEADY_FOR
     }
 
     /// Time since this node began, or woke.
-    pub fn age(&self, now: BootInstant) -> Duration {
+    pub fn time_since_start(&self, now: BootInstant) -> Duration {
         now.since(self.began)
     }
 
     /// Part of a limit that the nodes which are there may use: the others may be cut off
     /// and use theirs.
-    pub fn share(&self, now: BootInstant) -> f64 {
+    pub fn live_share(&self, now: BootInstant) -> f64 {
         let alive = self.alive.len().max(1);
-        alive as f64 / self.sharing(now) as f64
+        alive as f64 / self.sharing_count(now) as f64
     }
 
     /// Nodes that may be using a part of a limit.
-    pub fn sharing(&self, now: BootInstant) -> usize {
+    pub fn sharing_count(&self, now: BootInstant) -> usize {
         let seen = self.seen.values().filter(|seen| now.since(**seen) <= SHARES_FOR).count();
         seen.max(self.alive.len()).max(1)
     }
@@ -127,9 +127,9 @@
     /// The nodes to ask for a limit, the best first: those that lend, or the seeds while
     /// this node knows too little of the others. A seed knows who lends, or does so itself
     /// while the whole fleet starts.
-    pub fn to_ask(&mut self, key: QuotaKey, now: BootInstant) -> Vec<SocketAddrV4> {
+    pub fn lender_candidates(&mut self, key: QuotaKey, now: BootInstant) -> Vec<SocketAddrV4> {
         let mut nodes = Vec::new();
-        if !self.is_settled(now) {
+        if !self.is_stable(now) {
             nodes.clone_from(&self.seeds);
             nodes.sort_unstable_by_key(|node| std::cmp::Reverse(score(key, *node)));
         }
@@ -153,23 +153,27 @@
     }
 
     /// The first of the nodes that lend for a limit.
-    pub fn first(&mut self, key: QuotaKey) -> Option<SocketAddrV4> {
+    pub fn first_lender(&mut self, key: QuotaKey) -> Option<SocketAddrV4> {
         self.lenders(key).first().copied()
     }
 
     /// The nodes that are asked before this one for a limit.
-    pub fn ahead_of_own(&mut self, key: QuotaKey) -> Vec<SocketAddrV4> {
+    pub fn lenders_above_own(&mut self, key: QuotaKey) -> Vec<SocketAddrV4> {
         let own = self.own;
         self.lenders(key).iter().copied().take_while(|node| *node != own).collect()
     }
 
     /// Whether a node comes before another one for a limit.
-    pub fn is_ahead(&self, key: QuotaKey, node: SocketAddrV4, other: SocketAddrV4) -> bool {
+    pub fn ranks_above(&self, key: QuotaKey, node: SocketAddrV4, other: SocketAddrV4) -> bool {
         score(key, node) > score(key, other)
     }
 
     /// The best of the nodes that have gone lately and come before this one.
-    pub fn gone_ahead(&self, key: QuotaKey, now: BootInstant) -> Option<SocketAddrV4> {
+    pub fn departed_lender_above_own(
+        &self,
+        key: QuotaKey,
+        now: BootInstant,
+    ) -> Option<SocketAddrV4> {
         let own = score(key, self.own);
         let gone = self.seen.iter().filter(|(node, seen)| {
             now.since(**seen) <= SHARES_FOR && !self.alive.contains(node) && **node != self.own
@@ -179,17 +183,17 @@
     }
 
     /// Passes a node over for a while that does not answer or does not lend yet.
-    pub fn pass_over(&mut self, node: SocketAddrV4, time: Duration, now: BootInstant) {
+    pub fn skip_for(&mut self, node: SocketAddrV4, time: Duration, now: BootInstant) {
         self.silent.insert(node, now + time);
     }
 
     /// Notes that a node has answered.
-    pub fn answers(&mut self, node: SocketAddrV4) {
+    pub fn note_response(&mut self, node: SocketAddrV4) {
         self.silent.remove(&node);
     }
 
     /// Whether a node is passed over.
-    pub fn is_passed_over(&self, node: SocketAddrV4, now: BootInstant) -> bool {
+    pub fn is_skipped(&self, node: SocketAddrV4, now: BootInstant) -> bool {
         self.silent.get(&node).is_some_and(|until| now < *until)
     }
 }
--- a/crates/cometmoor-core/src/gateway/quota/lent/book.rs
+++ b/crates/cometmoor-core/src/gateway/quota/lending/book.rs
@@ -5,12 +5,12 @@
 use std::time::Duration;
 
 use super::askers::Askers;
-use super::message::{Ask, AskedLimit, Outcome};
+use super::message::{LimitParameters, TokenRequest, TokenResponse};
 use super::standing::{Role, Standing};
 use super::turns::Turns;
 use crate::gateway::quota::QuotaBounds;
 use crate::gateway::quota::bucket::TokenBucket;
-use crate::gateway::quota::ranks::FleetRanks;
+use crate::gateway::quota::fleet_view::FleetView;
 use crate::gateway::tenants::{QuotaUnit, TenantLimit};
 use crate::time::BootInstant;
 
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Asker {
     /// Its last question that was answered.
-    pub(super) answered: Option<(u64, Outcome)>,
+    pub(super) answered: Option<(u64, TokenResponse)>,
     /// Number of its last return.
     pub(super) returned: u64,
 }
@@ -51,7 +51,7 @@
 pub(super) struct Book {
     pub(super) number: u32,
     pub(super) standing: Standing,
-    pub(super) limit: AskedLimit,
+    pub(super) limit: LimitParameters,
     /// The limit itself.
     pub(super) bucket: TokenBucket,
     /// What may be lent beyond it, to requests that would have been in time by the order of
@@ -62,7 +62,7 @@
     pub(super) nodes: HashMap<SocketAddrV4, Asker>,
     pub(super) askers: Askers,
     /// Questions that wait until the book lends.
-    pub(super) held: Vec<(SocketAddrV4, Ask)>,
+    pub(super) held: Vec<(SocketAddrV4, TokenRequest)>,
     pub(super) asked: BootInstant,
     /// Until when tokens that come are promised to those who were told to come back.
     pub(super) promised: BootInstant,
@@ -70,18 +70,18 @@
     pub(super) turns: Turns,
 }
 
-fn limit_of(limit: &AskedLimit) -> TenantLimit {
-    let AskedLimit { per_second, burst, .. } = *limit;
+fn limit_of(limit: &LimitParameters) -> TenantLimit {
+    let LimitParameters { per_second, burst, .. } = *limit;
     TenantLimit { per_second, burst, unit: QuotaUnit::Requests }
 }
 
 /// Most that the leeway of a lender to the whole fleet holds.
-pub(super) fn most_leeway(bounds: &QuotaBounds, limit: &AskedLimit) -> f64 {
+pub(super) fn most_leeway(bounds: &QuotaBounds, limit: &LimitParameters) -> f64 {
     LEEWAY_PART * bounds.headroom(&limit_of(limit))
 }
 
 /// What a book begins with whose predecessor is not known, at a lender to the whole fleet.
-pub(super) fn start(bounds: &QuotaBounds, limit: &AskedLimit) -> f64 {
+pub(super) fn start(bounds: &QuotaBounds, limit: &LimitParameters) -> f64 {
     START_PART * bounds.headroom(&limit_of(limit))
 }
 
@@ -94,23 +94,23 @@
         cost: f64,
         reached: Option<f64>,
         bounds: &QuotaBounds,
-        ranks: &FleetRanks,
+        ranks: &FleetView,
         now: BootInstant,
     ) {
         let rate = self.limit.per_second;
-        let sharing = ranks.sharing(now);
+        let sharing = ranks.sharing_count(now);
         let estimate = self.askers.estimate(sharing, now);
         if role == Role::Start {
             // How many nodes there are is not known yet.
-            self.bucket.set(self.limit.burst, rate * START_RATE, now);
+            self.bucket.reconfigure(self.limit.burst, rate * START_RATE, now);
             return self.put_in(start(bounds, &self.limit));
         }
         if role == Role::First {
-            let share = ranks.share(now);
+            let share = ranks.live_share(now);
             let share = if estimate.is_apart { share.min(estimate.part) } else { share };
-            self.bucket.set(self.limit.burst * share, rate * share, now);
+            self.bucket.reconfigure(self.limit.burst * share, rate * share, now);
             let leeway = most_leeway(bounds, &self.limit) * share;
-            self.leeway.set(leeway, rate * LEEWAY_RATE * share, now);
+            self.leeway.reconfigure(leeway, rate * LEEWAY_RATE * share, now);
             return;
         }
         let reached = reached.map_or(0.0, |nodes| (nodes / sharing as f64).min(1.0));
@@ -120,14 +120,14 @@
         // Few questions may come from few nodes by chance; whom this node reaches says more.
         let is_apart = estimate.is_apart && reached < WHOLE_FROM;
         let part = if is_apart { estimate.part } else { estimate.part.max(reached) };
-        self.bucket.set(start, rate * UNCERTAIN_RATE * part, now);
+        self.bucket.reconfigure(start, rate * UNCERTAIN_RATE * part, now);
         self.put_in(start);
     }
 
     /// Puts a start allowance in, less what was put in before.
     fn put_in(&mut self, start: f64) {
         if start > self.started_with {
-            self.bucket.give_back(start - self.started_with);
+            self.bucket.refund(start - self.started_with);
             self.started_with = start;
         }
     }
@@ -135,7 +135,7 @@
     /// Begins as the lender of all nodes that are there.
     pub(super) fn begin_anew(&mut self, bounds: &QuotaBounds, share: f64) {
         let start = start(bounds, &self.limit) * share;
-        self.bucket.set_most(self.limit.burst * share);
+        self.bucket.set_capacity(self.limit.burst * share);
         self.put_in(start);
         self.turns.clear();
     }
@@ -145,79 +145,80 @@
     pub(super) fn lend_in_turn(
         &mut self,
         to: SocketAddrV4,
-        ask: &Ask,
+        ask: &TokenRequest,
         longest: Duration,
         now: BootInstant,
-    ) -> Outcome {
+    ) -> TokenResponse {
         let ahead = self.turns.ahead_of(to, now);
         let level = self.bucket.level(now) - ahead;
         if let Some(tokens) = self.affordable(ask, level) {
             self.turns.end(to);
             self.bucket.spend(tokens);
-            return Outcome::Lent { tokens, book: self.number };
+            return TokenResponse::Lent { tokens, account_id: self.number };
         }
-        let empty = self.bucket.time_until(ask.first, now);
-        let after = self.bucket.time_to_earn(ahead + ask.first, now);
+        let empty = self.bucket.time_until_available(ask.first_cost, now);
+        let after = self.bucket.time_to_accrue(ahead + ask.first_cost, now);
         if after <= longest {
-            self.turns.keep(to, ask.first, now + after);
+            self.turns.keep(to, ask.first_cost, now + after);
             return denied_for_now(empty, after);
         }
         self.turns.end(to);
-        denied_for_now(empty, self.promise(ask.first, after, now))
+        denied_for_now(empty, self.promise(ask.first_cost, after, now))
     }
 
     /// Lends what is asked for, or tells when it may be asked for again.
-    pub(super) fn lend(&mut self, ask: &Ask, now: BootInstant) -> Outcome {
+    pub(super) fn lend(&mut self, ask: &TokenRequest, now: BootInstant) -> TokenResponse {
         let level = self.bucket.level(now);
         let tokens = if let Some(tokens) = self.affordable(ask, level) {
             tokens
-        } else if self.covers_nearly(ask.first, now) {
+        } else if self.covers_nearly(ask.first_cost, now) {
             // The limit itself is not charged: the request that comes next by its order is
             // not to be refused for this one.
-            self.leeway.spend(ask.first);
-            return Outcome::Lent { tokens: ask.first, book: self.number };
-        } else if self.covers_with_leeway(ask.first, now) {
-            let most = self.bucket.most();
-            self.leeway.spend(ask.first - most);
+            self.leeway.spend(ask.first_cost);
+            return TokenResponse::Lent { tokens: ask.first_cost, account_id: self.number };
+        } else if self.covers_with_leeway(ask.first_cost, now) {
+            let most = self.bucket.capacity();
+            self.leeway.spend(ask.first_cost - most);
             self.bucket.spend(most);
-            return Outcome::Lent { tokens: ask.first, book: self.number };
+            return TokenResponse::Lent { tokens: ask.first_cost, account_id: self.number };
         } else {
-            return self.deny(ask.first, now);
+            return self.deny(ask.first_cost, now);
         };
         self.bucket.spend(tokens);
-        Outcome::Lent { tokens, book: self.number }
+        TokenResponse::Lent { tokens, account_id: self.number }
     }
 
     /// Most of what is asked for that such a level covers. What is lent ahead may not be used,
     /// so that is done from plenty only; parts of requests would be used late, in another
     /// window.
-    fn affordable(&self, ask: &Ask, level: f64) -> Option<f64> {
-        let whole = ask.all + ask.ahead;
-        if level - whole >= self.bucket.most() / 2.0 {
+    fn affordable(&self, ask: &TokenRequest, level: f64) -> Option<f64> {
+        let whole = ask.total_cost + ask.prefetch;
+        if level - whole >= self.bucket.capacity() / 2.0 {
             return Some(whole);
         }
-        [ask.all, ask.first].into_iter().find(|tokens| level >= *tokens)
+        [ask.total_cost, ask.first_cost].into_iter().find(|tokens| level >= *tokens)
     }
 
     /// Whether a request that costs more than the burst finds the bucket full, and the rest
     /// in the leeway: otherwise it could never run.
     fn covers_with_leeway(&mut self, cost: f64, now: BootInstant) -> bool {
-        let most = self.bucket.most();
+        let most = self.bucket.capacity();
         cost > most && self.bucket.covers(most, now) && self.leeway.covers(cost - most, now)
     }
 
     /// Whether a request lacks only what comes within the jitter, and the leeway covers it.
     fn covers_nearly(&mut self, cost: f64, now: BootInstant) -> bool {
-        let fits = cost <= self.bucket.most();
-        fits && self.bucket.time_until(cost, now) <= JITTER && self.leeway.covers(cost, now)
+        let fits = cost <= self.bucket.capacity();
+        fits && self.bucket.time_until_available(cost, now) <= JITTER
+            && self.leeway.covers(cost, now)
     }
 
     /// Refuses a request.
-    fn deny(&mut self, cost: f64, now: BootInstant) -> Outcome {
-        let empty = self.bucket.time_until(cost, now);
+    fn deny(&mut self, cost: f64, now: BootInstant) -> TokenResponse {
+        let empty = self.bucket.time_until_available(cost, now);
         let after = self.promise(cost, empty, now);
-        let (empty_micros, after_millis) = denial(empty, after);
-        Outcome::Denied { empty_micros, after_millis }
+        let (empty_micros, retry_after_millis) = denial(empty, after);
+        TokenResponse::Denied { empty_micros, retry_after_millis }
     }
 
     /// Time after which a request that is refused should come back: when there are tokens for
@@ -243,7 +244,7 @@
 
 /// The same from a lender that may not be the only one: the tokens are there after a whole
 /// number of milliseconds, one at least.
-fn denied_for_now(empty: Duration, after: Duration) -> Outcome {
-    let (empty_micros, after_millis) = denial(empty, after + Duration::from_millis(1));
-    Outcome::DeniedForNow { empty_micros, after_millis }
+fn denied_for_now(empty: Duration, after: Duration) -> TokenResponse {
+    let (empty_micros, retry_after_millis) = denial(empty, after + Duration::from_millis(1));
+    TokenResponse::DeniedProvisionally { empty_micros, retry_after_millis }
 }
--- a/crates/cometmoor-core/src/gateway/quota/lent/borrower.rs
+++ b/crates/cometmoor-core/src/gateway/quota/lending/borrower.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use super::message::{Ask, AskedLimit};
+use super::message::{LimitParameters, TokenRequest};
 use crate::gateway::quota::{Decision, QuotaKey, Settled, Ticket, VersionedLimit};
 use crate::time::BootInstant;
 
@@ -39,15 +39,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AskWay {
     /// Whether nodes that come before it do not answer.
-    pub(super) passed_over: bool,
+    pub(super) is_failover: bool,
     /// Whether this node knows too little of the others.
-    pub(super) starts: bool,
+    pub(super) is_bootstrap: bool,
 }
 
 /// A question without an answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OpenAsk {
-    pub(super) ask: Ask,
+    pub(super) ask: TokenRequest,
     pub(super) target: SocketAddrV4,
     /// Places of lenders that the question has been sent on to.
     pub(super) redirects: u32,
@@ -67,7 +67,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Source {
     pub(super) lender: SocketAddrV4,
-    pub(super) book: u32,
+    pub(super) account_id: u32,
 }
 
 /// A limit's account at this node.
@@ -151,22 +151,22 @@
         number: u64,
         way: AskWay,
         now: BootInstant,
-    ) -> Option<Ask> {
+    ) -> Option<TokenRequest> {
         if self.ask.is_some() || now < self.ask_from {
             return None;
         }
         let first = self.waiting.front()?.cost;
         let all: f64 = self.waiting.iter().map(|waiting| waiting.cost).sum();
         let balance = if now < self.balance_until { self.balance } else { 0.0 };
-        Some(Ask {
+        Some(TokenRequest {
             number,
             key,
-            limit: AskedLimit::from(self.limit),
-            first: (first - balance).max(0.0),
-            all: (all - balance).max(0.0),
-            ahead: self.ahead(),
-            passed_over: way.passed_over,
-            starts: way.starts,
+            limit: LimitParameters::from(self.limit),
+            first_cost: (first - balance).max(0.0),
+            total_cost: (all - balance).max(0.0),
+            prefetch: self.ahead(),
+            is_failover: way.is_failover,
+            is_bootstrap: way.is_bootstrap,
         })
     }
 
@@ -273,14 +273,14 @@
 pub(super) struct Borrower {
     pub(super) accounts: BTreeMap<QuotaKey, Account>,
     /// Longest wait of a request for tokens of a fallback lender.
-    pub(super) fallback_wait: Duration,
+    pub(super) max_fallback_wait: Duration,
     next_ticket: u64,
 }
 
 impl Borrower {
     /// A node that has been lent nothing yet.
-    pub(super) fn new(fallback_wait: Duration) -> Borrower {
-        Borrower { accounts: BTreeMap::new(), fallback_wait, next_ticket: 0 }
+    pub(super) fn new(max_fallback_wait: Duration) -> Borrower {
+        Borrower { accounts: BTreeMap::new(), max_fallback_wait, next_ticket: 0 }
     }
 
     /// Decides on a request by what is there; tells its ticket where it has to wait.
@@ -304,7 +304,7 @@
             return Decision::Refused(denied.come_back.since(now));
         }
         let turn_after = account.turn_after(cost, now);
-        if let Some(after) = turn_after.filter(|after| *after > self.fallback_wait) {
+        if let Some(after) = turn_after.filter(|after| *after > self.max_fallback_wait) {
             return Decision::Refused(after);
         }
         self.next_ticket += 1;
@@ -315,7 +315,7 @@
 
     /// Takes the cost of a request back that has not run; tells what of it is not needed
     /// here.
-    pub(super) fn give_back(
+    pub(super) fn refund(
         &mut self,
         key: QuotaKey,
         cost: f64,
--- a/crates/cometmoor-core/src/gateway/quota/lent/lender.rs
+++ b/crates/cometmoor-core/src/gateway/quota/lending/lender.rs
@@ -6,12 +6,12 @@
 
 use super::askers::Askers;
 use super::book::{Asker, Book, most_leeway, start};
-use super::message::{Ask, LentMessage, Outcome};
+use super::message::{LendingMessage, TokenRequest, TokenResponse};
 use super::reach::Reach;
 use super::standing::{Awaited, Question, Role, Standing};
 use super::turns::Turns;
 use crate::gateway::quota::bucket::TokenBucket;
-use crate::gateway::quota::ranks::FleetRanks;
+use crate::gateway::quota::fleet_view::FleetView;
 use crate::gateway::quota::{QuotaBounds, QuotaKey};
 use crate::time::BootInstant;
 
@@ -33,22 +33,22 @@
     pub(super) to: SocketAddrV4,
     pub(super) key: QuotaKey,
     pub(super) number: u64,
-    pub(super) outcome: Outcome,
+    pub(super) response: TokenResponse,
 }
 
 /// What follows from what a lender took.
 #[derive(Debug, Default)]
 pub(super) struct LenderEffects {
     pub(super) answers: Vec<Answer>,
-    pub(super) messages: Vec<(SocketAddrV4, LentMessage)>,
+    pub(super) messages: Vec<(SocketAddrV4, LendingMessage)>,
 }
 
 /// How another node stands that was probed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerStanding {
     pub(super) node: SocketAddrV4,
-    pub(super) lends: bool,
-    pub(super) is_settled: bool,
+    pub(super) is_lending: bool,
+    pub(super) is_stable: bool,
 }
 
 /// The limits for which a node lends.
@@ -100,46 +100,46 @@
     pub(super) fn take_ask(
         &mut self,
         from: SocketAddrV4,
-        ask: Ask,
-        ranks: &mut FleetRanks,
+        ask: TokenRequest,
+        ranks: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
         let key = ask.key;
-        let answer = |outcome| Answer { to: from, key, number: ask.number, outcome };
+        let answer = |response| Answer { to: from, key, number: ask.number, response };
         if self.books.contains_key(&key) {
             return self.ask_book(from, ask, ranks, now, effects);
         }
         if let Some((to, at)) = self.handed.get(&key)
             && now.since(*at) < HANDED_FOR
-            && !ask.passed_over
+            && !ask.is_failover
         {
-            effects.answers.push(answer(Outcome::Elsewhere(*to)));
+            effects.answers.push(answer(TokenResponse::Redirect(*to)));
             return;
         }
-        if !ranks.is_settled(now) {
-            if ask.starts && ranks.is_seed() {
+        if !ranks.is_stable(now) {
+            if ask.is_bootstrap && ranks.is_seed() {
                 return self.start_as_seed(from, ask, ranks, now, effects);
             }
-            effects.answers.push(answer(Outcome::NotReady));
+            effects.answers.push(answer(TokenResponse::NotReady));
             return;
         }
-        match ranks.first(key) {
-            None => effects.answers.push(answer(Outcome::NotReady)),
+        match ranks.first_lender(key) {
+            None => effects.answers.push(answer(TokenResponse::NotReady)),
             Some(first) if first == ranks.own() => {
                 let standing = self.begin(key, ranks, now, effects);
                 self.open(ask, standing, ranks, now);
                 self.ask_book(from, ask, ranks, now, effects);
                 self.conclude_if_alone(key, ranks, now, effects);
             }
-            Some(_) if ask.passed_over => {
-                let ahead = ranks.ahead_of_own(key);
+            Some(_) if ask.is_failover => {
+                let ahead = ranks.lenders_above_own(key);
                 let standing = awaits(Question::OneAheadLends, ahead.clone(), key, now, effects);
                 self.probe_others(key, &ahead, ranks, now, effects);
                 self.open(ask, standing, ranks, now);
                 self.ask_book(from, ask, ranks, now, effects);
             }
-            Some(first) => effects.answers.push(answer(Outcome::Elsewhere(first))),
+            Some(first) => effects.answers.push(answer(TokenResponse::Redirect(first))),
         }
     }
 
@@ -148,7 +148,7 @@
         &mut self,
         key: QuotaKey,
         silent: &[SocketAddrV4],
-        ranks: &FleetRanks,
+        ranks: &FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
@@ -157,17 +157,21 @@
         }
         let others: Vec<SocketAddrV4> = ranks
             .others()
-            .filter(|node| !silent.contains(node) && !ranks.is_passed_over(*node, now))
+            .filter(|node| !silent.contains(node) && !ranks.is_skipped(*node, now))
             .collect();
         let probed = self.reach.probe(&others, now);
-        effects.messages.extend(probed.into_iter().map(|node| (node, LentMessage::Probe { key })));
+        effects
+            .messages
+            .extend(probed.into_iter().map(|node| (node, LendingMessage::Probe { key })));
     }
 
     /// Probes again whom this node has not heard of the last sample.
     fn probe_again(&mut self, now: BootInstant, effects: &mut LenderEffects) {
         let Some(key) = self.books.keys().next().copied() else { return };
         let silent = self.reach.probe_again(now);
-        effects.messages.extend(silent.into_iter().map(|node| (node, LentMessage::Probe { key })));
+        effects
+            .messages
+            .extend(silent.into_iter().map(|node| (node, LendingMessage::Probe { key })));
     }
 
     /// Opens a book at a seed that knows too little of the others, unless another seed knows
@@ -175,8 +179,8 @@
     fn start_as_seed(
         &mut self,
         from: SocketAddrV4,
-        ask: Ask,
-        ranks: &mut FleetRanks,
+        ask: TokenRequest,
+        ranks: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
@@ -184,8 +188,8 @@
         if let Some((seed, at)) = self.running_seed
             && now.since(at) < RUNS_FOR
         {
-            let outcome = Outcome::Elsewhere(seed);
-            return effects.answers.push(Answer { to: from, key, number, outcome });
+            let response = TokenResponse::Redirect(seed);
+            return effects.answers.push(Answer { to: from, key, number, response });
         }
         let seeds: Vec<SocketAddrV4> = ranks.other_seeds().collect();
         let standing = match seeds.is_empty() {
@@ -201,16 +205,16 @@
     fn begin(
         &self,
         key: QuotaKey,
-        ranks: &mut FleetRanks,
+        ranks: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) -> Standing {
-        let gone = ranks.gone_ahead(key, now);
-        if gone.is_none() && ranks.age(now) >= self.bounds.window {
+        let gone = ranks.departed_lender_above_own(key, now);
+        if gone.is_none() && ranks.time_since_start(now) >= self.bounds.window {
             return Standing::Lends(Role::First);
         }
         let second = ranks.lenders(key).get(1).copied();
-        let is_young = ranks.age(now) < self.bounds.window;
+        let is_young = ranks.time_since_start(now) < self.bounds.window;
         let seeds = ranks.other_seeds().filter(|_| is_young);
         let mut from: Vec<SocketAddrV4> = gone.into_iter().chain(second).chain(seeds).collect();
         from.sort_unstable();
@@ -219,9 +223,9 @@
     }
 
     /// Opens a book. It is full only where nobody can have lent in the last window.
-    fn open(&mut self, ask: Ask, standing: Standing, ranks: &FleetRanks, now: BootInstant) {
+    fn open(&mut self, ask: TokenRequest, standing: Standing, ranks: &FleetView, now: BootInstant) {
         let is_full = standing == Standing::Lends(Role::First);
-        let share = ranks.share(now);
+        let share = ranks.live_share(now);
         let most = ask.limit.burst * share;
         let level = if is_full { most } else { 0.0 };
         let leeway = if is_full { most_leeway(&self.bounds, &ask.limit) * share } else { 0.0 };
@@ -247,8 +251,8 @@
     fn ask_book(
         &mut self,
         from: SocketAddrV4,
-        ask: Ask,
-        ranks: &mut FleetRanks,
+        ask: TokenRequest,
+        ranks: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
@@ -258,12 +262,13 @@
         let fresh = Asker { answered: None, returned: 0 };
         let asker = book.nodes.entry(from).or_insert(fresh);
         let again = asker.answered.filter(|(number, _)| *number == ask.number);
-        if let Some((number, outcome)) = again {
-            effects.answers.push(Answer { to: from, key: ask.key, number, outcome });
+        if let Some((number, response)) = again {
+            effects.answers.push(Answer { to: from, key: ask.key, number, response });
             return;
         }
         // Repeated questions count once, or the fleet would look smaller than it is.
-        let was_denied = matches!(asker.answered, Some((_, Outcome::DeniedForNow { .. })));
+        let was_denied =
+            matches!(asker.answered, Some((_, TokenResponse::DeniedProvisionally { .. })));
         let is_held = book.held.iter().any(|(_, held)| held.number == ask.number);
         if !was_denied && !is_held {
             book.askers.note(from, now);
@@ -276,30 +281,30 @@
         if ask.limit.version > book.limit.version {
             book.limit = ask.limit;
         }
-        let first = ranks.first(ask.key).filter(|_| ranks.is_settled(now));
+        let first = ranks.first_lender(ask.key).filter(|_| ranks.is_stable(now));
         let is_first = first == Some(ranks.own());
         if is_first && role == Role::Fallback {
-            book.begin_anew(&bounds, ranks.share(now));
+            book.begin_anew(&bounds, ranks.live_share(now));
         }
         let role = if is_first { Role::First } else { role };
         book.standing = Standing::Lends(role);
-        let outcome = match first {
+        let response = match first {
             // The fleet has started; the first one asks for what is left here.
-            Some(first) if role == Role::Start => Outcome::Elsewhere(first),
+            Some(first) if role == Role::Start => TokenResponse::Redirect(first),
             _ => {
-                book.set_rate(role, ask.first, self.reach.reached(now), &bounds, ranks, now);
+                book.set_rate(role, ask.first_cost, self.reach.reached(now), &bounds, ranks, now);
                 match role {
                     Role::First => book.lend(&ask, now),
                     Role::Fallback | Role::Start => {
-                        book.lend_in_turn(from, &ask, bounds.fallback_wait, now)
+                        book.lend_in_turn(from, &ask, bounds.max_fallback_wait, now)
                     }
                 }
             }
         };
         if let Some(asker) = book.nodes.get_mut(&from) {
-            asker.answered = Some((ask.number, outcome));
+            asker.answered = Some((ask.number, response));
         }
-        effects.answers.push(Answer { to: from, key: ask.key, number: ask.number, outcome });
+        effects.answers.push(Answer { to: from, key: ask.key, number: ask.number, response });
     }
 
     /// Takes tokens back.
@@ -316,7 +321,7 @@
         // A datagram may come twice, or from before this book was opened.
         if book.number == book_number && number > asker.returned {
             asker.returned = number;
-            book.bucket.give_back(tokens);
+            book.bucket.refund(tokens);
         }
     }
 
@@ -345,7 +350,7 @@
         node: SocketAddrV4,
         key: QuotaKey,
         level: Option<f64>,
-        ranks: &mut FleetRanks,
+        ranks: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
@@ -369,7 +374,7 @@
         &mut self,
         peer: PeerStanding,
         key: QuotaKey,
-        ranks: &mut FleetRanks,
+        ranks: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
@@ -378,8 +383,8 @@
         let Some(book) = self.books.get_mut(&key) else { return };
         let Standing::Awaits(awaited) = &mut book.standing else { return };
         let knows_more = match awaited.what {
-            Question::OneAheadLends => peer.lends && awaited.from.contains(&node),
-            Question::SeedKnows => peer.is_settled,
+            Question::OneAheadLends => peer.is_lending && awaited.from.contains(&node),
+            Question::SeedKnows => peer.is_stable,
             Question::Left(_) => return,
         };
         awaited.from.retain(|asked| *asked != node);
@@ -394,22 +399,22 @@
         }
         let Some(book) = self.books.remove(&key) else { return };
         for (to, ask) in book.held {
-            let outcome = Outcome::Elsewhere(node);
-            effects.answers.push(Answer { to, key, number: ask.number, outcome });
+            let response = TokenResponse::Redirect(node);
+            effects.answers.push(Answer { to, key, number: ask.number, response });
         }
     }
 
     /// Whether this node lends for a limit, or would by its rank.
-    pub(super) fn lends(&self, key: QuotaKey, ranks: &mut FleetRanks, now: BootInstant) -> bool {
-        let is_first = ranks.first(key) == Some(ranks.own());
-        self.books.contains_key(&key) || (is_first && ranks.is_settled(now))
+    pub(super) fn lends(&self, key: QuotaKey, ranks: &mut FleetView, now: BootInstant) -> bool {
+        let is_first = ranks.first_lender(key) == Some(ranks.own());
+        self.books.contains_key(&key) || (is_first && ranks.is_stable(now))
     }
 
     /// Lets a book lend that waits for nobody.
     fn conclude_if_alone(
         &mut self,
         key: QuotaKey,
-        ranks: &mut FleetRanks,
+        ranks: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
@@ -425,13 +430,13 @@
     fn conclude(
         &mut self,
         key: QuotaKey,
-        ranks: &mut FleetRanks,
+        ranks: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
         let bounds = self.bounds;
         let Some(book) = self.books.get_mut(&key) else { return };
-        let start = start(&bounds, &book.limit) * ranks.share(now);
+        let start = start(&bounds, &book.limit) * ranks.live_share(now);
         let Standing::Awaits(awaited) = &book.standing else { return };
         let (role, level) = match awaited.what {
             Question::Left(least) => (Role::First, least.unwrap_or(start)),
@@ -439,7 +444,7 @@
             Question::SeedKnows => (Role::Start, 0.0),
         };
         book.standing = Standing::Lends(role);
-        let (most, rate) = (book.bucket.most(), book.limit.per_second);
+        let (most, rate) = (book.bucket.capacity(), book.limit.per_second);
         book.bucket = TokenBucket::new(level, most, rate, now);
         for (from, ask) in std::mem::take(&mut book.held) {
             self.ask_book(from, ask, ranks, now, effects);
@@ -449,7 +454,7 @@
     /// Lets time pass.
     pub(super) fn tick(
         &mut self,
-        ranks: &mut FleetRanks,
+        ranks: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
@@ -475,7 +480,7 @@
         }
         for (key, what, silent) in overdue {
             if what == Question::OneAheadLends {
-                silent.iter().for_each(|node| ranks.pass_over(*node, SILENT_FOR, now));
+                silent.iter().for_each(|node| ranks.skip_for(*node, SILENT_FOR, now));
             }
             self.conclude(key, ranks, now, effects);
         }
--- a/crates/cometmoor-core/src/gateway/quota/lent/message.rs
+++ b/crates/cometmoor-core/src/gateway/quota/lending/message.rs
@@ -8,7 +8,7 @@
 
 /// A limit as the node that asks knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AskedLimit {
+pub struct LimitParameters {
     /// Amount a second.
     pub per_second: f64,
     /// Amount on top, at once.
@@ -17,43 +17,43 @@
     pub version: u64,
 }
 
-impl From<VersionedLimit> for AskedLimit {
-    fn from(limit: VersionedLimit) -> AskedLimit {
+impl From<VersionedLimit> for LimitParameters {
+    fn from(limit: VersionedLimit) -> LimitParameters {
         let VersionedLimit { limit, version } = limit;
-        AskedLimit { per_second: limit.per_second, burst: limit.burst, version }
+        LimitParameters { per_second: limit.per_second, burst: limit.burst, version }
     }
 }
 
 /// Asks a node to lend.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct TokenRequest {
     /// Rises with each question of a node, so that one that is sent again is known.
     pub number: u64,
     /// The limit.
     pub key: QuotaKey,
     /// Its limit.
-    pub limit: AskedLimit,
+    pub limit: LimitParameters,
     /// What the first request that waits costs.
-    pub first: f64,
+    pub first_cost: f64,
     /// What all that wait cost.
-    pub all: f64,
+    pub total_cost: f64,
     /// What the node expects to need next.
-    pub ahead: f64,
+    pub prefetch: f64,
     /// Whether nodes that come before the one that is asked do not answer.
-    pub passed_over: bool,
+    pub is_failover: bool,
     /// Whether the node that asks knows too little of the others, so that it asks a seed.
-    pub starts: bool,
+    pub is_bootstrap: bool,
 }
 
 /// What is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum TokenResponse {
     /// So many tokens are lent.
     Lent {
         /// The tokens.
         tokens: f64,
         /// The book that they are lent from.
-        book: u32,
+        account_id: u32,
     },
     /// The limit is used up.
     Denied {
@@ -61,35 +61,35 @@
         empty_micros: u32,
         /// Milliseconds after which the caller should come back: later than those who were
         /// refused before it.
-        after_millis: u32,
+        retry_after_millis: u32,
     },
     /// Another node lends for this limit.
-    Elsewhere(SocketAddrV4),
+    Redirect(SocketAddrV4),
     /// The node knows too little of the others to lend.
     NotReady,
     /// The same as denied, by a node that may not be the only one that lends: it holds back a
     /// part of the limit, so that the limit may not be used up.
-    DeniedForNow {
+    DeniedProvisionally {
         /// Microseconds for which nothing that costs as much can be granted.
         empty_micros: u32,
         /// Milliseconds after which tokens are there.
-        after_millis: u32,
+        retry_after_millis: u32,
     },
 }
 
 /// A datagram between nodes that lend allowances.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum LentMessage {
+pub enum LendingMessage {
     /// Asks for tokens.
-    Ask(Ask),
+    Request(TokenRequest),
     /// The answer.
-    Answer {
+    Response {
         /// The limit.
         key: QuotaKey,
         /// Number of the question.
         number: u64,
         /// What is answered.
-        outcome: Outcome,
+        response: TokenResponse,
     },
     /// Gives tokens back that were not used.
     Return {
@@ -98,7 +98,7 @@
         /// Rises with each return of a node.
         number: u64,
         /// The book that they were lent from.
-        book: u32,
+        account_id: u32,
         /// The tokens.
         tokens: f64,
     },
@@ -108,11 +108,11 @@
         key: QuotaKey,
     },
     /// The answer: what is left, if it has a book.
-    Left {
+    HandedOver {
         /// The limit.
         key: QuotaKey,
         /// Tokens that are left.
-        level: Option<f64>,
+        remaining: Option<f64>,
     },
     /// Asks a node how it stands: one that is said to be silent, or another seed while the
     /// fleet may be starting.
@@ -121,12 +121,12 @@
         key: QuotaKey,
     },
     /// The answer.
-    ProbeAnswer {
+    ProbeResponse {
         /// The limit.
         key: QuotaKey,
         /// Whether it lends.
-        lends: bool,
+        is_lending: bool,
         /// Whether it has watched the others for long enough to know who does.
-        is_settled: bool,
+        is_stable: bool,
     },
 }
--- a/crates/cometmoor-core/src/gateway/quota/lent/mod.rs
+++ b/crates/cometmoor-core/src/gateway/quota/lending/mod.rs
@@ -19,8 +19,8 @@
 
 use self::borrower::{ASK_AGAIN_AFTER, AskWay, Borrower, GIVE_UP_AFTER, OpenAsk, Source};
 use self::lender::{Answer, Lender, LenderEffects, PeerStanding};
-pub use self::message::{Ask, AskedLimit, LentMessage, Outcome};
-use super::ranks::FleetRanks;
+pub use self::message::{LendingMessage, LimitParameters, TokenRequest, TokenResponse};
+use super::fleet_view::FleetView;
 use super::{
     Decision, Effects, QuotaBounds, QuotaKey, QuotaPolicy, Settled, Ticket, VersionedLimit,
 };
@@ -38,15 +38,15 @@
 
 /// A node that borrows, and lends for some limits.
 #[derive(Clone, Debug)]
-pub struct LentQuota {
-    ranks: FleetRanks,
+pub struct LendingPolicy {
+    ranks: FleetView,
     borrower: Borrower,
     lender: Lender,
     next_number: u64,
     ticked: BootInstant,
 }
 
-impl LentQuota {
+impl LendingPolicy {
     /// A node that has just started and knows a few others, which may be gone. `first_number`
     /// is drawn for each process.
     pub fn new(
@@ -55,10 +55,10 @@
         bounds: QuotaBounds,
         first_number: u64,
         now: BootInstant,
-    ) -> LentQuota {
-        LentQuota {
-            ranks: FleetRanks::new(own, seeds, now),
-            borrower: Borrower::new(bounds.fallback_wait),
+    ) -> LendingPolicy {
+        LendingPolicy {
+            ranks: FleetView::new(own, seeds, now),
+            borrower: Borrower::new(bounds.max_fallback_wait),
             lender: Lender::new(bounds, first_number as u32),
             next_number: first_number >> 1,
             ticked: now,
@@ -72,11 +72,11 @@
 
     /// The node that this one asks first for a limit.
     pub fn lender_of(&mut self, key: QuotaKey) -> Option<SocketAddrV4> {
-        self.ranks.first(key)
+        self.ranks.first_lender(key)
     }
 
     /// Number of limits for which this node lends.
-    pub fn books(&self) -> usize {
+    pub fn lending_count(&self) -> usize {
         self.lender.len()
     }
 
@@ -86,18 +86,18 @@
     }
 
     /// Asks for the requests of a limit that wait, as far as that is not done.
-    fn ask(&mut self, key: QuotaKey, now: BootInstant, effects: &mut Effects<LentMessage>) {
-        let starts = !self.ranks.is_settled(now);
-        let nodes = self.ranks.to_ask(key, now);
+    fn ask(&mut self, key: QuotaKey, now: BootInstant, effects: &mut Effects<LendingMessage>) {
+        let is_bootstrap = !self.ranks.is_stable(now);
+        let nodes = self.ranks.lender_candidates(key, now);
         let first = nodes.first().copied();
-        let answers = |node: &SocketAddrV4| !self.ranks.is_passed_over(*node, now);
+        let answers = |node: &SocketAddrV4| !self.ranks.is_skipped(*node, now);
         let target = nodes.into_iter().find(answers);
         let number = self.number();
         let Some(account) = self.borrower.accounts.get_mut(&key) else { return };
         let Some(target) = target else {
             return account.give_up(&mut effects.settled);
         };
-        let way = AskWay { passed_over: !starts && first != Some(target), starts };
+        let way = AskWay { is_failover: !is_bootstrap && first != Some(target), is_bootstrap };
         let Some(ask) = account.next_ask(key, number, way, now) else { return };
         account.ask = Some(OpenAsk { ask, target, redirects: 0, first_sent: now, sent: now });
         self.send(target, ask, now, effects);
@@ -106,12 +106,12 @@
     fn send(
         &mut self,
         target: SocketAddrV4,
-        ask: Ask,
+        ask: TokenRequest,
         now: BootInstant,
-        effects: &mut Effects<LentMessage>,
+        effects: &mut Effects<LendingMessage>,
     ) {
         if target != self.ranks.own() {
-            effects.messages.push((target, LentMessage::Ask(ask)));
+            effects.messages.push((target, LendingMessage::Request(ask)));
             return;
         }
         let mut lent = LenderEffects::default();
@@ -124,14 +124,14 @@
         &mut self,
         lent: LenderEffects,
         now: BootInstant,
-        effects: &mut Effects<LentMessage>,
+        effects: &mut Effects<LendingMessage>,
     ) {
         effects.messages.extend(lent.messages);
-        for Answer { to, key, number, outcome } in lent.answers {
+        for Answer { to, key, number, response } in lent.answers {
             if to == self.ranks.own() {
-                self.take_answer(to, key, number, outcome, now, effects);
+                self.take_answer(to, key, number, response, now, effects);
             } else {
-                effects.messages.push((to, LentMessage::Answer { key, number, outcome }));
+                effects.messages.push((to, LendingMessage::Response { key, number, response }));
             }
         }
     }
@@ -141,42 +141,42 @@
         from: SocketAddrV4,
         key: QuotaKey,
         number: u64,
-        outcome: Outcome,
+        response: TokenResponse,
         now: BootInstant,
-        effects: &mut Effects<LentMessage>,
+        effects: &mut Effects<LendingMessage>,
     ) {
-        self.ranks.answers(from);
-        let fallback_wait = self.borrower.fallback_wait;
+        self.ranks.note_response(from);
+        let max_fallback_wait = self.borrower.max_fallback_wait;
         let Some(account) = self.borrower.accounts.get_mut(&key) else { return };
         let Some(open) = account.ask.filter(|open| open.ask.number == number) else {
             // It comes too late; what it lends goes back.
-            if let Outcome::Lent { tokens, book } = outcome {
-                self.give_back_to(key, Source { lender: from, book }, tokens, effects);
+            if let TokenResponse::Lent { tokens, account_id } = response {
+                self.give_back_to(key, Source { lender: from, account_id }, tokens, effects);
             }
             return;
         };
         account.ask = None;
-        match outcome {
-            Outcome::Lent { tokens, book } => {
-                let source = Source { lender: from, book };
+        match response {
+            TokenResponse::Lent { tokens, account_id } => {
+                let source = Source { lender: from, account_id };
                 account.take_lent(tokens, source, now, &mut effects.settled);
             }
-            Outcome::Denied { empty_micros, after_millis }
-            | Outcome::DeniedForNow { empty_micros, after_millis } => {
+            TokenResponse::Denied { empty_micros, retry_after_millis }
+            | TokenResponse::DeniedProvisionally { empty_micros, retry_after_millis } => {
                 let empty = Duration::from_micros(empty_micros.into());
-                let after = Duration::from_millis(after_millis.into());
-                let is_provisional = matches!(outcome, Outcome::DeniedForNow { .. });
-                if !is_provisional || !account.wait_for_tokens(after, fallback_wait, now) {
+                let after = Duration::from_millis(retry_after_millis.into());
+                let is_provisional = matches!(response, TokenResponse::DeniedProvisionally { .. });
+                if !is_provisional || !account.wait_for_tokens(after, max_fallback_wait, now) {
                     account.take_denied(empty, after, now, &mut effects.settled);
                 }
             }
-            Outcome::Elsewhere(to) if open.redirects < MOST_REDIRECTS => {
+            TokenResponse::Redirect(to) if open.redirects < MOST_REDIRECTS => {
                 let redirects = open.redirects + 1;
                 account.ask = Some(OpenAsk { target: to, redirects, sent: now, ..open });
                 return self.send(to, open.ask, now, effects);
             }
-            Outcome::Elsewhere(_) => self.ranks.pass_over(from, NOT_READY_FOR, now),
-            Outcome::NotReady => self.ranks.pass_over(from, NOT_READY_FOR, now),
+            TokenResponse::Redirect(_) => self.ranks.skip_for(from, NOT_READY_FOR, now),
+            TokenResponse::NotReady => self.ranks.skip_for(from, NOT_READY_FOR, now),
         }
         self.ask(key, now, effects);
     }
@@ -186,19 +186,21 @@
         key: QuotaKey,
         source: Source,
         tokens: f64,
-        effects: &mut Effects<LentMessage>,
+        effects: &mut Effects<LendingMessage>,
     ) {
         let number = self.number();
-        let Source { lender, book } = source;
+        let Source { lender, account_id } = source;
         if lender == self.ranks.own() {
-            self.lender.take_return(lender, key, number, book, tokens);
+            self.lender.take_return(lender, key, number, account_id, tokens);
         } else {
-            effects.messages.push((lender, LentMessage::Return { key, number, book, tokens }));
+            effects
+                .messages
+                .push((lender, LendingMessage::Return { key, number, account_id, tokens }));
         }
     }
 
     /// Asks for the requests that have waited until a fallback lender has tokens.
-    fn ask_for_waiting(&mut self, now: BootInstant, effects: &mut Effects<LentMessage>) {
+    fn ask_for_waiting(&mut self, now: BootInstant, effects: &mut Effects<LendingMessage>) {
         let accounts = self.borrower.accounts.iter();
         let waiting =
             accounts.filter(|(_, account)| account.ask.is_none() && account.has_waiting());
@@ -209,7 +211,7 @@
     }
 
     /// Asks again where an answer is overdue, or another node.
-    fn chase_answers(&mut self, now: BootInstant, effects: &mut Effects<LentMessage>) {
+    fn chase_answers(&mut self, now: BootInstant, effects: &mut Effects<LendingMessage>) {
         let open = self.borrower.accounts.iter();
         let open: Vec<(QuotaKey, OpenAsk)> =
             open.filter_map(|(key, account)| Some((*key, account.ask?))).collect();
@@ -218,7 +220,7 @@
             if now.since(open.first_sent) >= GIVE_UP_AFTER {
                 account.ask = None;
                 if open.target != self.ranks.own() {
-                    self.ranks.pass_over(open.target, SILENT_FOR, now);
+                    self.ranks.skip_for(open.target, SILENT_FOR, now);
                 }
                 self.ask(key, now, effects);
             } else if now.since(open.sent) >= ASK_AGAIN_AFTER && open.target != self.ranks.own() {
@@ -228,10 +230,10 @@
         }
     }
 
-    fn wake(&mut self, now: BootInstant, effects: &mut Effects<LentMessage>) {
+    fn wake(&mut self, now: BootInstant, effects: &mut Effects<LendingMessage>) {
         self.lender.close_all();
         self.borrower.forget_all(now, &mut effects.settled);
-        self.ranks.restart(now);
+        self.ranks.reset_stability(now);
     }
 }
 
@@ -241,8 +243,8 @@
     Some(settled.swap_remove(place).decision)
 }
 
-impl QuotaPolicy for LentQuota {
-    type Message = LentMessage;
+impl QuotaPolicy for LendingPolicy {
+    type Message = LendingMessage;
 
     fn request(
         &mut self,
@@ -250,7 +252,7 @@
         limit: VersionedLimit,
         cost: f64,
         now: BootInstant,
-        effects: &mut Effects<LentMessage>,
+        effects: &mut Effects<LendingMessage>,
     ) -> Decision {
         let decision = self.borrower.request(key, limit, cost, now);
         let Decision::Pending(ticket) = decision else { return decision };
@@ -258,14 +260,14 @@
         settled_at_once(ticket, &mut effects.settled).unwrap_or(decision)
     }
 
-    fn give_back(
+    fn refund(
         &mut self,
         key: QuotaKey,
         cost: f64,
         now: BootInstant,
-        effects: &mut Effects<LentMessage>,
+        effects: &mut Effects<LendingMessage>,
     ) {
-        let surplus = self.borrower.give_back(key, cost, now, &mut effects.settled);
+        let surplus = self.borrower.refund(key, cost, now, &mut effects.settled);
         if let Some((source, tokens)) = surplus {
             self.give_back_to(key, source, tokens, effects);
         }
@@ -274,35 +276,35 @@
     fn receive(
         &mut self,
         from: SocketAddrV4,
-        message: LentMessage,
+        message: LendingMessage,
         now: BootInstant,
-        effects: &mut Effects<LentMessage>,
+        effects: &mut Effects<LendingMessage>,
     ) {
         let mut lent = LenderEffects::default();
         let ranks = &mut self.ranks;
         match message {
-            LentMessage::Ask(ask) => self.lender.take_ask(from, ask, ranks, now, &mut lent),
-            LentMessage::Answer { key, number, outcome } => {
-                self.take_answer(from, key, number, outcome, now, effects);
+            LendingMessage::Request(ask) => self.lender.take_ask(from, ask, ranks, now, &mut lent),
+            LendingMessage::Response { key, number, response } => {
+                self.take_answer(from, key, number, response, now, effects);
             }
-            LentMessage::Return { key, number, book, tokens } => {
-                self.lender.take_return(from, key, number, book, tokens);
+            LendingMessage::Return { key, number, account_id, tokens } => {
+                self.lender.take_return(from, key, number, account_id, tokens);
             }
-            LentMessage::TakeOver { key } => {
-                let level = self.lender.hand_over(from, key, now);
-                lent.messages.push((from, LentMessage::Left { key, level }));
+            LendingMessage::TakeOver { key } => {
+                let remaining = self.lender.hand_over(from, key, now);
+                lent.messages.push((from, LendingMessage::HandedOver { key, remaining }));
             }
-            LentMessage::Left { key, level } => {
-                self.lender.take_left(from, key, level, ranks, now, &mut lent);
+            LendingMessage::HandedOver { key, remaining } => {
+                self.lender.take_left(from, key, remaining, ranks, now, &mut lent);
             }
-            LentMessage::Probe { key } => {
-                let lends = self.lender.lends(key, ranks, now);
-                let is_settled = ranks.is_settled(now);
-                let answer = LentMessage::ProbeAnswer { key, lends, is_settled };
+            LendingMessage::Probe { key } => {
+                let is_lending = self.lender.lends(key, ranks, now);
+                let is_stable = ranks.is_stable(now);
+                let answer = LendingMessage::ProbeResponse { key, is_lending, is_stable };
                 lent.messages.push((from, answer));
             }
-            LentMessage::ProbeAnswer { key, lends, is_settled } => {
-                let standing = PeerStanding { node: from, lends, is_settled };
+            LendingMessage::ProbeResponse { key, is_lending, is_stable } => {
+                let standing = PeerStanding { node: from, is_lending, is_stable };
                 self.lender.take_probe_answer(standing, key, ranks, now, &mut lent);
             }
         }
@@ -310,10 +312,10 @@
     }
 
     fn set_nodes(&mut self, alive: &[SocketAddrV4], now: BootInstant) {
-        self.ranks.set(alive, now);
+        self.ranks.set_alive(alive, now);
     }
 
-    fn tick(&mut self, now: BootInstant, effects: &mut Effects<LentMessage>) {
+    fn tick(&mut self, now: BootInstant, effects: &mut Effects<LendingMessage>) {
         if now.since(self.ticked) >= SLEPT_FROM {
             self.wake(now, effects);
         }
--- a/crates/cometmoor-core/src/gateway/quota/lent/standing.rs
+++ b/crates/cometmoor-core/src/gateway/quota/lending/standing.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use super::message::LentMessage;
+use super::message::LendingMessage;
 use crate::gateway::quota::QuotaKey;
 use crate::time::BootInstant;
 
@@ -48,10 +48,10 @@
 }
 
 impl Question {
-    pub(super) fn message(self, key: QuotaKey) -> LentMessage {
+    pub(super) fn message(self, key: QuotaKey) -> LendingMessage {
         match self {
-            Question::Left(_) => LentMessage::TakeOver { key },
-            Question::OneAheadLends | Question::SeedKnows => LentMessage::Probe { key },
+            Question::Left(_) => LendingMessage::TakeOver { key },
+            Question::OneAheadLends | Question::SeedKnows => LendingMessage::Probe { key },
         }
     }
 }
--- a/crates/cometmoor-core/src/gateway/quota/mod.rs
+++ b/crates/cometmoor-core/src/gateway/quota/mod.rs
@@ -5,12 +5,12 @@
 //! though a node sees only a few of the requests: equal shares of a limit are
 //! less than one request at a hundred nodes.
 //!
-//! Behind [`QuotaPolicy`] one node lends for each limit ([`lent`]). The other way that was
+//! Behind [`QuotaPolicy`] one node lends for each limit ([`lending`]). The other way that was
 //! built, sums of what all nodes have used, is kept with the tests that compare the two.
 
 pub mod bucket;
-pub mod lent;
-pub mod ranks;
+pub mod fleet_view;
+pub mod lending;
 pub mod server_limit;
 
 use std::net::SocketAddrV4;
@@ -34,7 +34,7 @@
 
 /// Longest time for which a tenant's request waits for tokens of a fallback lender: with the
 /// time to find one it stays below the longest wait of a request.
-pub const TENANT_FALLBACK_WAIT: Duration = Duration::from_millis(400);
+pub const MAX_TENANT_FALLBACK_WAIT: Duration = Duration::from_millis(400);
 
 /// What operators promise of limits, and how long a request may wait for them.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -47,7 +47,7 @@
     pub slack: f64,
     /// Longest time for which a request waits for tokens of a lender that may not be the only
     /// one, and therefore holds back a part of the limit.
-    pub fallback_wait: Duration,
+    pub max_fallback_wait: Duration,
 }
 
 impl QuotaBounds {
@@ -57,7 +57,7 @@
     }
 
     /// Most that all nodes may run in a window.
-    pub fn most(&self, limit: &TenantLimit) -> f64 {
+    pub fn max_usage(&self, limit: &TenantLimit) -> f64 {
         self.allowance(limit) * (1.0 + self.excess) + self.slack
     }
 
@@ -135,7 +135,7 @@
     ) -> Decision;
 
     /// Notes that a request which was granted has not run and will not.
-    fn give_back(
+    fn refund(
         &mut self,
         key: QuotaKey,
         cost: f64,
--- a/crates/cometmoor-core/src/gateway/quota/server_limit.rs
+++ b/crates/cometmoor-core/src/gateway/quota/server_limit.rs
@@ -13,7 +13,7 @@
     window: Duration::from_secs(4),
     excess: 0.4,
     slack: 3.0,
-    fallback_wait: Duration::ZERO,
+    max_fallback_wait: Duration::ZERO,
 };
 /// Requests that may run at once after a pause, beyond one: those of so many seconds. With
 /// 0.1 s, a limit of 5 a second was used to 0.73 by six nodes that pressed.
@@ -30,7 +30,7 @@
 
 /// How long a node does not consider a server that has denied it a request for `after`: as
 /// all of so many nodes do so, they ask a few times as often as requests are allowed.
-pub fn denied_for(limit: &VersionedLimit, nodes: usize, after: Duration) -> Duration {
+pub fn denial_backoff(limit: &VersionedLimit, nodes: usize, after: Duration) -> Duration {
     let questions = QUESTIONS_FOR_REQUEST * limit.limit.per_second;
     let pause = Duration::try_from_secs_f64(nodes as f64 / questions).unwrap_or(DENIED_FOR.1);
     after.min(pause).clamp(DENIED_FOR.0, DENIED_FOR.1)
--- a/crates/cometmoor-core/src/gateway/signals/server.rs
+++ b/crates/cometmoor-core/src/gateway/signals/server.rs
@@ -5,7 +5,7 @@
 use super::limit::{KnownLimit, LimitReport, limit_change};
 use super::{Denial, Hold, IncarnationHash, SignalChange, SignalReport};
 use crate::gateway::quota::VersionedLimit;
-use crate::gateway::quota::server_limit::{denied_for, server_limit};
+use crate::gateway::quota::server_limit::{denial_backoff, server_limit};
 use crate::time::BootInstant;
 
 /// Time for which it is remembered that a server leaves: longer than one takes to be gone.
@@ -146,7 +146,7 @@
         }
         let Some(limit) = self.quota() else { return };
         let room = denial.room();
-        let asked_again = now + denied_for(&limit, nodes, room);
+        let asked_again = now + denial_backoff(&limit, nodes, room);
         self.denied = Some(Denied { asked_again, room: now + room });
     }
 
--- a/crates/cometmoor-gateway/src/quota.rs
+++ b/crates/cometmoor-gateway/src/quota.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cometmoor_core::gateway::quota::lent::{Ask, LentMessage, LentQuota};
+use cometmoor_core::gateway::quota::lending::{LendingMessage, LendingPolicy, TokenRequest};
 use cometmoor_core::gateway::quota::server_limit::SERVER_LIMIT_BOUNDS;
 use cometmoor_core::gateway::quota::{
     Decision, Effects, QuotaBounds, QuotaKey, QuotaPolicy, Settled, Ticket, VersionedLimit,
@@ -49,7 +49,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct Datagram {
     holder: Holder,
-    message: LentMessage,
+    message: LendingMessage,
     /// What the sender knows of the server, with a question for its limit: the node that is
     /// asked may not have heard of it, or of another limit.
     signal: Option<SignalReport>,
@@ -64,13 +64,13 @@
 
 /// The limits of one kind of holders.
 struct Ledger {
-    policy: RefCell<LentQuota>,
+    policy: RefCell<LendingPolicy>,
     waiting: RefCell<HashMap<Ticket, Waiting>>,
 }
 
 impl Ledger {
     fn new(own: SocketAddrV4, seeds: Vec<SocketAddrV4>, bounds: QuotaBounds) -> Ledger {
-        let policy = LentQuota::new(own, seeds, bounds, rand::random(), clock::now());
+        let policy = LendingPolicy::new(own, seeds, bounds, rand::random(), clock::now());
         Ledger { policy: RefCell::new(policy), waiting: RefCell::default() }
     }
 }
@@ -160,7 +160,7 @@
     ) -> Decision {
         self.take_nodes();
         let now = clock::now();
-        let ask = |policy: &mut LentQuota, effects: &mut Effects<LentMessage>| {
+        let ask = |policy: &mut LendingPolicy, effects: &mut Effects<LendingMessage>| {
             policy.request(key, limit, cost, now, effects)
         };
         let decided = self.with_policy(holder, ask);
@@ -174,14 +174,14 @@
 
     fn return_tokens(&self, holder: Holder, key: QuotaKey, cost: f64) {
         self.with_policy(holder, |policy, effects| {
-            policy.give_back(key, cost, clock::now(), effects);
+            policy.refund(key, cost, clock::now(), effects);
         });
     }
 
     fn with_policy<Output>(
         &self,
         holder: Holder,
-        act: impl FnOnce(&mut LentQuota, &mut Effects<LentMessage>) -> Output,
+        act: impl FnOnce(&mut LendingPolicy, &mut Effects<LendingMessage>) -> Output,
     ) -> Output {
         let ledger = self.ledger(holder);
         let mut effects = Effects::default();
@@ -199,9 +199,9 @@
         output
     }
 
-    fn send(&self, holder: Holder, target: SocketAddrV4, message: LentMessage) {
+    fn send(&self, holder: Holder, target: SocketAddrV4, message: LendingMessage) {
         let signal = match (holder, &message) {
-            (Holder::Servers, LentMessage::Ask(ask)) => self.signals.report(ask.key.into()),
+            (Holder::Servers, LendingMessage::Request(ask)) => self.signals.report(ask.key.into()),
             _ => None,
         };
         let datagram = Datagram { holder, message, signal };
@@ -216,9 +216,9 @@
     fn with_known_limit(
         &self,
         from: SocketAddrV4,
-        mut ask: Ask,
+        mut ask: TokenRequest,
         signal: Option<SignalReport>,
-    ) -> Ask {
+    ) -> TokenRequest {
         let server = ask.key.into();
         let reports = signal.filter(|report| report.server == server);
         for (_, change) in self.signals.merge(reports.as_slice()) {
@@ -246,8 +246,8 @@
             };
             self.take_nodes();
             let message = match (holder, message) {
-                (Holder::Servers, LentMessage::Ask(ask)) => {
-                    LentMessage::Ask(self.with_known_limit(from, ask, signal))
+                (Holder::Servers, LendingMessage::Request(ask)) => {
+                    LendingMessage::Request(self.with_known_limit(from, ask, signal))
                 }
                 (_, message) => message,
             };
@@ -266,8 +266,8 @@
             for holder in [Holder::Tenants, Holder::Servers] {
                 self.with_policy(holder, |policy, effects| policy.tick(clock::now(), effects));
             }
-            self.metrics.lends.set(self.tenants.policy.borrow().books() as i64);
-            self.metrics.lends_for_servers.set(self.servers.policy.borrow().books() as i64);
+            self.metrics.lends.set(self.tenants.policy.borrow().lending_count() as i64);
+            self.metrics.lends_for_servers.set(self.servers.policy.borrow().lending_count() as i64);
             let has_waiting = |ledger: &Ledger| ledger.policy.borrow().has_waiting();
             if !has_waiting(&self.tenants) && !has_waiting(&self.servers) {
                 let _ = clock::timeout(IDLE_TICK, self.changed.notified()).await;
--- a/crates/cometmoor-gateway/src/settings.rs
+++ b/crates/cometmoor-gateway/src/settings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cometmoor_core::gateway::proof::ProofLimits;
-use cometmoor_core::gateway::quota::{QuotaBounds, TENANT_FALLBACK_WAIT};
+use cometmoor_core::gateway::quota::{MAX_TENANT_FALLBACK_WAIT, QuotaBounds};
 use cometmoor_core::gateway::staleness::StalenessLimits;
 use serde::{Deserialize, Serialize};
 
@@ -252,7 +252,7 @@
             window: Duration::from_secs_f64(self.bounds.quota_window_seconds),
             excess: self.bounds.quota_excess,
             slack: self.bounds.quota_slack,
-            fallback_wait: TENANT_FALLBACK_WAIT,
+            max_fallback_wait: MAX_TENANT_FALLBACK_WAIT,
         }
     }
 
--- a/crates/cometmoor-gateway/tests/quota.rs
+++ b/crates/cometmoor-gateway/tests/quota.rs
@@ -8,7 +8,7 @@
 mod world;
 
 use cometmoor_core::gateway::quota::QuotaBounds;
-use cometmoor_core::gateway::quota::lent::LentQuota;
+use cometmoor_core::gateway::quota::lending::LendingPolicy;
 use quota_world::cuts::{cut_a_third, isolate_a_third};
 use quota_world::policy::SimulatedPolicy;
 use quota_world::stalled_lender::refused_while_the_lender_stands_still;
@@ -185,7 +185,7 @@
         // Of a hundred tenants the small ones send a request each few seconds: two questions
         // of one node were once taken for a fleet that had fallen apart.
         for (nodes, count) in [(6, 10), (6, 100), (30, 10), (30, 100)] {
-            let shown = play::<LentQuota>(nodes, count, 12, seed, |_, _| {});
+            let shown = play::<LendingPolicy>(nodes, count, 12, seed, |_, _| {});
             assert_bound(&shown, "all is well");
             for sends in [0.5, 0.9] {
                 let share = shown.refused_share(sends);
@@ -202,7 +202,7 @@
 #[test]
 fn limits_hold_while_a_third_of_the_nodes_is_cut_off_together() {
     for seed in 1..=seeds(1) {
-        assert_bound(&play::<LentQuota>(30, 10, 14, seed, cut_a_third), "cut off together");
+        assert_bound(&play::<LendingPolicy>(30, 10, 14, seed, cut_a_third), "cut off together");
     }
 }
 
@@ -212,7 +212,7 @@
         // A lender that is alone counts few questions, of its own callers only: in a fleet
         // of six it once lent its whole limit for a further three seconds, 1.11 of the bound.
         for (nodes, count) in [(3, 16), (6, 16), (30, 10)] {
-            let shown = play::<LentQuota>(nodes, count, 14, seed, isolate_a_third);
+            let shown = play::<LendingPolicy>(nodes, count, 14, seed, isolate_a_third);
             assert_bound(&shown, "cut off one by one");
         }
     }
@@ -224,7 +224,7 @@
 fn limits_hold_when_all_nodes_are_killed_and_requests_within_them_are_served_soon() {
     for seed in 1..=seeds(1) {
         for nodes in [6, 30] {
-            let shown = play::<LentQuota>(nodes, 10, 12, seed, kill_all(nodes));
+            let shown = play::<LendingPolicy>(nodes, 10, 12, seed, kill_all(nodes));
             assert_bound(&shown, "killed");
             let share = shown.refused_share(0.5);
             assert!(share < 0.05, "{nodes} nodes: {}", shown.line());
@@ -235,14 +235,14 @@
 #[test]
 fn limits_hold_while_lenders_freeze_and_wake() {
     for seed in 1..=seeds(1) {
-        assert_bound(&play::<LentQuota>(30, 10, 14, seed, freeze_lenders), "frozen");
+        assert_bound(&play::<LendingPolicy>(30, 10, 14, seed, freeze_lenders), "frozen");
     }
 }
 
 #[test]
 fn limits_hold_while_lenders_are_killed() {
     for seed in 1..=seeds(1) {
-        assert_bound(&play::<LentQuota>(30, 10, 10, seed, kill_lenders), "lenders killed");
+        assert_bound(&play::<LendingPolicy>(30, 10, 10, seed, kill_lenders), "lenders killed");
     }
 }
 
@@ -250,7 +250,7 @@
 fn limits_hold_while_all_nodes_start_again_in_turn() {
     for seed in 1..=seeds(1) {
         for nodes in [6, 30] {
-            let shown = play::<LentQuota>(nodes, 10, 14, seed, restart_in_turn(nodes));
+            let shown = play::<LendingPolicy>(nodes, 10, 14, seed, restart_in_turn(nodes));
             assert_bound(&shown, "started again in turn");
         }
     }
@@ -259,7 +259,7 @@
 /// The same limit, lowered and lifted while requests run.
 #[test]
 fn a_lower_limit_holds_a_moment_after_the_nodes_know_it() {
-    let mut world = QuotaWorld::<LentQuota>::new(30, tenants(10), 3);
+    let mut world = QuotaWorld::<LendingPolicy>::new(30, tenants(10), 3);
     world.run_until(WARM);
     world.open_to_callers();
     world.run_until(WARM + 4);
@@ -315,7 +315,7 @@
     );
     for (nodes, tenants) in [(6, 16), (30, 16), (90, 16), (300, 16), (90, 300)] {
         for ((name, lent), (_, summed)) in
-            plays::<LentQuota>().into_iter().zip(plays::<SummedQuota>())
+            plays::<LendingPolicy>().into_iter().zip(plays::<SummedQuota>())
         {
             let worst = (1..=seeds(1)).map(|seed| lent(nodes, tenants, seed).0.worst_window);
             let worst = worst.fold(0.0, f64::max);
@@ -337,8 +337,8 @@
 fn play_small_limits(
     nodes: usize,
     seed: u64,
-    happen: impl Fn(&mut QuotaWorld<LentQuota>, u64),
-) -> QuotaWorld<LentQuota> {
+    happen: impl Fn(&mut QuotaWorld<LendingPolicy>, u64),
+) -> QuotaWorld<LendingPolicy> {
     let bounds = QuotaBounds { slack: 0.0, ..BOUNDS };
     let tenants = vec![SimulatedTenant::new(0, 200.0, 7.0), SimulatedTenant::new(1, 200.0, 0.25)];
     let mut world = QuotaWorld::with_bounds(nodes, tenants, seed, bounds, vec![10.0]);
@@ -351,7 +351,7 @@
     world
 }
 
-fn freeze_the_first_lender(world: &mut QuotaWorld<LentQuota>, second: u64) {
+fn freeze_the_first_lender(world: &mut QuotaWorld<LendingPolicy>, second: u64) {
     if second == 2 || second == 8 {
         let lender = world.lender(0);
         world.freeze(lender, 4000);
@@ -360,7 +360,7 @@
 
 #[test]
 fn a_small_limit_holds_while_nodes_are_cut_off_frozen_or_killed() {
-    type Happen = fn(&mut QuotaWorld<LentQuota>, u64);
+    type Happen = fn(&mut QuotaWorld<LendingPolicy>, u64);
     let happens: [(&str, Happen); 4] = [
         ("cut off together", cut_a_third),
         ("cut off one by one", isolate_a_third),
@@ -374,7 +374,7 @@
                 let world = play_small_limits(nodes, seed, happen);
                 for (tenant, outcome) in world.tenants.iter().zip(&world.outcomes) {
                     let limit = &tenant.limit.limit;
-                    let worst = outcome.most_in(bounds.window) / bounds.most(limit);
+                    let worst = outcome.most_in(bounds.window) / bounds.max_usage(limit);
                     assert!(worst <= 1.0, "{nodes} nodes, {what}, seed {seed}: {worst:.3}");
                 }
             }
@@ -382,7 +382,7 @@
     }
 }
 
-fn kill_lenders_of_small_limits(world: &mut QuotaWorld<LentQuota>, second: u64) {
+fn kill_lenders_of_small_limits(world: &mut QuotaWorld<LendingPolicy>, second: u64) {
     if (2..4).contains(&second) {
         let lender = world.lender(0);
         world.kill(lender);
--- a/crates/cometmoor-gateway/tests/quota_world/equal.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/equal.rs
@@ -6,20 +6,20 @@
 use std::net::SocketAddrV4;
 
 use cometmoor_core::gateway::quota::bucket::TokenBucket;
-use cometmoor_core::gateway::quota::ranks::FleetRanks;
+use cometmoor_core::gateway::quota::fleet_view::FleetView;
 use cometmoor_core::gateway::quota::{Decision, Effects, QuotaKey, QuotaPolicy, VersionedLimit};
 use cometmoor_core::time::BootInstant;
 
 /// A node with its shares.
 pub struct EqualShares {
-    ranks: FleetRanks,
+    ranks: FleetView,
     buckets: HashMap<QuotaKey, TokenBucket>,
 }
 
 impl EqualShares {
     /// A node that has just started.
     pub fn new(own: SocketAddrV4, now: BootInstant) -> EqualShares {
-        EqualShares { ranks: FleetRanks::new(own, Vec::new(), now), buckets: HashMap::new() }
+        EqualShares { ranks: FleetView::new(own, Vec::new(), now), buckets: HashMap::new() }
     }
 }
 
@@ -34,30 +34,30 @@
         now: BootInstant,
         _: &mut Effects<()>,
     ) -> Decision {
-        let rate = limit.limit.per_second / self.ranks.sharing(now) as f64;
+        let rate = limit.limit.per_second / self.ranks.sharing_count(now) as f64;
         // A share holds one request at least, or it could never be used; it begins empty, so
         // that the first ones of all nodes do not add up at once.
-        let most = (limit.limit.burst / self.ranks.sharing(now) as f64).max(1.0);
+        let most = (limit.limit.burst / self.ranks.sharing_count(now) as f64).max(1.0);
         let bucket =
             self.buckets.entry(key).or_insert_with(|| TokenBucket::new(0.0, most, rate, now));
-        bucket.set(most, rate, now);
+        bucket.reconfigure(most, rate, now);
         if bucket.covers(cost, now) {
             bucket.spend(cost);
             return Decision::Granted;
         }
-        Decision::Refused(bucket.time_until(cost, now))
+        Decision::Refused(bucket.time_until_available(cost, now))
     }
 
-    fn give_back(&mut self, key: QuotaKey, cost: f64, _: BootInstant, _: &mut Effects<()>) {
+    fn refund(&mut self, key: QuotaKey, cost: f64, _: BootInstant, _: &mut Effects<()>) {
         if let Some(bucket) = self.buckets.get_mut(&key) {
-            bucket.give_back(cost);
+            bucket.refund(cost);
         }
     }
 
     fn receive(&mut self, _: SocketAddrV4, (): (), _: BootInstant, _: &mut Effects<()>) {}
 
     fn set_nodes(&mut self, alive: &[SocketAddrV4], now: BootInstant) {
-        self.ranks.set(alive, now);
+        self.ranks.set_alive(alive, now);
     }
 
     fn tick(&mut self, _: BootInstant, _: &mut Effects<()>) {}
--- a/crates/cometmoor-gateway/tests/quota_world/mod.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/mod.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use cometmoor_core::gateway::quota::{
-    Decision, Effects, QuotaBounds, QuotaKey, Settled, TENANT_FALLBACK_WAIT, Ticket,
+    Decision, Effects, MAX_TENANT_FALLBACK_WAIT, QuotaBounds, QuotaKey, Settled, Ticket,
 };
 use cometmoor_core::time::BootInstant;
 
@@ -39,7 +39,7 @@
     window: Duration::from_secs(8),
     excess: 0.1,
     slack: 17_000.0,
-    fallback_wait: TENANT_FALLBACK_WAIT,
+    max_fallback_wait: MAX_TENANT_FALLBACK_WAIT,
 };
 /// Of a thousand datagrams, how many are lost.
 const LOST: u64 = 50;
--- a/crates/cometmoor-gateway/tests/quota_world/policy.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/policy.rs
@@ -3,7 +3,7 @@
 use std::fmt::Debug;
 use std::net::SocketAddrV4;
 
-use cometmoor_core::gateway::quota::lent::LentQuota;
+use cometmoor_core::gateway::quota::lending::LendingPolicy;
 use cometmoor_core::gateway::quota::{Effects, QuotaBounds, QuotaKey, QuotaPolicy};
 use cometmoor_core::time::BootInstant;
 
@@ -36,7 +36,7 @@
     }
 }
 
-impl SimulatedPolicy for LentQuota {
+impl SimulatedPolicy for LendingPolicy {
     fn start(
         own: SocketAddrV4,
         seeds: Vec<SocketAddrV4>,
@@ -44,7 +44,7 @@
         number: u64,
         now: BootInstant,
     ) -> Self {
-        LentQuota::new(own, seeds, bounds, number, now)
+        LendingPolicy::new(own, seeds, bounds, number, now)
     }
 
     fn bytes(message: &Self::Message) -> u64 {
@@ -52,11 +52,11 @@
     }
 
     fn has_waiting(&self) -> bool {
-        LentQuota::has_waiting(self)
+        LendingPolicy::has_waiting(self)
     }
 
     fn lender_of(&mut self, tenant: QuotaKey) -> Option<SocketAddrV4> {
-        LentQuota::lender_of(self, tenant)
+        LendingPolicy::lender_of(self, tenant)
     }
 }
 
--- a/crates/cometmoor-gateway/tests/quota_world/stalled_lender.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/stalled_lender.rs
@@ -1,13 +1,13 @@
 //! A tenant within a small limit, while the node that lends for it stands still.
 
 use cometmoor_core::gateway::quota::QuotaBounds;
-use cometmoor_core::gateway::quota::lent::LentQuota;
+use cometmoor_core::gateway::quota::lending::LendingPolicy;
 
 use super::tenants::SimulatedTenant;
 use super::{BOUNDS, QuotaWorld, WARM};
 
 /// Requests within limits, and those of them that were refused.
-fn conforming_and_refused(world: &QuotaWorld<LentQuota>) -> (usize, usize) {
+fn conforming_and_refused(world: &QuotaWorld<LendingPolicy>) -> (usize, usize) {
     let outcomes = world.outcomes.iter();
     outcomes.fold((0, 0), |(conforming, refused), outcome| {
         (conforming + outcome.conforming, refused + outcome.conforming_refused)
@@ -24,7 +24,8 @@
 pub fn play(nodes: usize, seed: u64, is_traced: bool) -> (usize, usize) {
     let bounds = QuotaBounds { slack: 0.0, ..BOUNDS };
     let tenants = vec![SimulatedTenant::new(0, 200.0, 0.25)];
-    let mut world = QuotaWorld::<LentQuota>::with_bounds(nodes, tenants, seed, bounds, vec![10.0]);
+    let mut world =
+        QuotaWorld::<LendingPolicy>::with_bounds(nodes, tenants, seed, bounds, vec![10.0]);
     world.run_until(WARM);
     world.open_to_callers();
     world.run_until(WARM + 2);
@@ -37,7 +38,7 @@
     let (conforming_later, refused_later) = conforming_and_refused(&world);
     for (tenant, outcome) in world.tenants.iter().zip(&world.outcomes) {
         let (most, limit) = (outcome.most_in(bounds.window), &tenant.limit.limit);
-        assert!(most <= bounds.most(limit), "{most} in a window");
+        assert!(most <= bounds.max_usage(limit), "{most} in a window");
     }
     (conforming_later - conforming, refused_later - refused)
 }
--- a/crates/cometmoor-gateway/tests/quota_world/summed.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/summed.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use cometmoor_core::gateway::quota::bucket::TokenBucket;
-use cometmoor_core::gateway::quota::ranks::FleetRanks;
+use cometmoor_core::gateway::quota::fleet_view::FleetView;
 use cometmoor_core::gateway::quota::{
     Decision, Effects, QuotaBounds, QuotaKey, QuotaPolicy, VersionedLimit,
 };
@@ -75,7 +75,7 @@
 #[derive(Clone, Debug)]
 pub struct SummedQuota {
     bounds: QuotaBounds,
-    ranks: FleetRanks,
+    ranks: FleetView,
     accounts: HashMap<QuotaKey, Account>,
     heard: Option<BootInstant>,
     ticked: BootInstant,
@@ -86,7 +86,7 @@
     pub fn new(own: SocketAddrV4, bounds: QuotaBounds, now: BootInstant) -> SummedQuota {
         SummedQuota {
             bounds,
-            ranks: FleetRanks::new(own, Vec::new(), now),
+            ranks: FleetView::new(own, Vec::new(), now),
             accounts: HashMap::new(),
             heard: None,
             ticked: now,
@@ -105,11 +105,11 @@
         now: BootInstant,
     ) -> &mut Account {
         let headroom = self.bounds.headroom(&limit.limit);
-        let (share, sharing) = (self.ranks.share(now), self.ranks.sharing(now) as f64);
+        let (share, sharing) = (self.ranks.live_share(now), self.ranks.sharing_count(now) as f64);
         let most = (limit.limit.burst + BURST_PART * headroom) * share;
         let rate = limit.limit.per_second;
         // A process that has just begun knows nothing of what was used before.
-        let is_new = self.ranks.age(now) < self.bounds.window;
+        let is_new = self.ranks.time_since_start(now) < self.bounds.window;
         let level = if is_new { BURST_PART * headroom * share } else { most };
         let account = self.accounts.entry(tenant).or_insert_with(|| Account {
             limit,
@@ -124,8 +124,8 @@
             account.limit = limit;
         }
         let rate = account.limit.limit.per_second;
-        account.bucket.set(most, rate * share, now);
-        account.own_share.set(most / sharing, rate / sharing, now);
+        account.bucket.reconfigure(most, rate * share, now);
+        account.own_share.reconfigure(most / sharing, rate / sharing, now);
         account
     }
 }
@@ -145,7 +145,7 @@
 
     /// Decides by what is known of all nodes.
     fn decide(&mut self, cost: f64, share: f64, now: BootInstant) -> Decision {
-        let low = self.bucket.most() * LOW_PART;
+        let low = self.bucket.capacity() * LOW_PART;
         let level = self.bucket.level(now);
         if level - cost >= low {
             return self.admit(cost);
@@ -157,7 +157,9 @@
             self.credit -= cost;
             return self.admit(cost);
         }
-        Decision::Refused(self.bucket.time_until(cost, now).max(Duration::from_millis(50)))
+        Decision::Refused(
+            self.bucket.time_until_available(cost, now).max(Duration::from_millis(50)),
+        )
     }
 }
 
@@ -173,8 +175,8 @@
         _: &mut Effects<HeardUse>,
     ) -> Decision {
         let is_alone = self.heard.is_none_or(|heard| now.since(heard) > HEARD_FOR)
-            && self.ranks.sharing(now) > 1;
-        let share = self.ranks.share(now);
+            && self.ranks.sharing_count(now) > 1;
+        let share = self.ranks.live_share(now);
         let account = self.account(tenant, limit, now);
         account.own.asked += cost;
         account.note_asked(cost, now);
@@ -188,16 +190,10 @@
         account.admit(cost)
     }
 
-    fn give_back(
-        &mut self,
-        tenant: QuotaKey,
-        cost: f64,
-        _: BootInstant,
-        _: &mut Effects<HeardUse>,
-    ) {
+    fn refund(&mut self, tenant: QuotaKey, cost: f64, _: BootInstant, _: &mut Effects<HeardUse>) {
         if let Some(account) = self.accounts.get_mut(&tenant) {
             account.own.admitted -= cost;
-            account.bucket.give_back(cost);
+            account.bucket.refund(cost);
         }
     }
 
@@ -219,14 +215,14 @@
     }
 
     fn set_nodes(&mut self, alive: &[SocketAddrV4], now: BootInstant) {
-        self.ranks.set(alive, now);
+        self.ranks.set_alive(alive, now);
     }
 
     fn tick(&mut self, now: BootInstant, _: &mut Effects<HeardUse>) {
         if now.since(self.ticked) >= SLEPT_FROM {
             self.accounts.clear();
             self.heard = None;
-            self.ranks.restart(now);
+            self.ranks.reset_stability(now);
         }
         self.ticked = now;
     }
--- a/crates/cometmoor-gateway/tests/quota_world/tenants.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/tenants.rs
@@ -52,7 +52,7 @@
 impl Outcome {
     /// Most that ran in any window, against the most that may.
     pub fn worst_window(&self, limit: &TenantLimit) -> f64 {
-        self.most_in(BOUNDS.window) / BOUNDS.most(limit)
+        self.most_in(BOUNDS.window) / BOUNDS.max_usage(limit)
     }
 
     /// Most that ran in any span of a length.
--- a/crates/cometmoor-gateway/tests/server_limits.rs
+++ b/crates/cometmoor-gateway/tests/server_limits.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use cometmoor_core::gateway::quota::QuotaKey;
-use cometmoor_core::gateway::quota::lent::LentQuota;
+use cometmoor_core::gateway::quota::lending::LendingPolicy;
 use cometmoor_core::gateway::quota::server_limit::{SERVER_LIMIT_BOUNDS, server_limit};
 use quota_world::cuts::{cut_a_third, isolate_a_third};
 use quota_world::equal::EqualShares;
@@ -137,7 +137,7 @@
 fn a_limit_is_held_and_used_by_any_number_of_nodes() {
     for seed in 1..=seeds(1) {
         for nodes in [3, 6, 30, 90] {
-            let shown = play::<LentQuota>(nodes, seed, is_calm);
+            let shown = play::<LendingPolicy>(nodes, seed, is_calm);
             assert_bound(&shown, "calm");
             for met in &shown.met {
                 assert!(met.used >= USED_UNDER_PRESSURE, "{nodes} nodes: {}", shown.line());
@@ -150,11 +150,14 @@
 fn a_limit_is_held_while_nodes_are_cut_off_frozen_killed_and_started_again() {
     for seed in 1..=seeds(1) {
         for nodes in [6, 30] {
-            assert_bound(&play::<LentQuota>(nodes, seed, cut_a_third), "cut off together");
-            assert_bound(&play::<LentQuota>(nodes, seed, isolate_a_third), "cut off one by one");
-            assert_bound(&play::<LentQuota>(nodes, seed, freeze_lenders), "lenders frozen");
-            assert_bound(&play::<LentQuota>(nodes, seed, kill_all), "all killed");
-            assert_bound(&play::<LentQuota>(nodes, seed, restart_in_turn), "started in turn");
+            assert_bound(&play::<LendingPolicy>(nodes, seed, cut_a_third), "cut off together");
+            assert_bound(
+                &play::<LendingPolicy>(nodes, seed, isolate_a_third),
+                "cut off one by one",
+            );
+            assert_bound(&play::<LendingPolicy>(nodes, seed, freeze_lenders), "lenders frozen");
+            assert_bound(&play::<LendingPolicy>(nodes, seed, kill_all), "all killed");
+            assert_bound(&play::<LendingPolicy>(nodes, seed, restart_in_turn), "started in turn");
         }
     }
 }
@@ -190,6 +193,6 @@
         return;
     }
     eprintln!("limits {LIMITS:?}: most in 4 s/allowed, least use; bytes a node and second; waits");
-    print::<LentQuota>("lent");
+    print::<LendingPolicy>("lent");
     print::<EqualShares>("equal shares");
 }
