--- a/crates/cometmoor-core/tests/admission.rs
+++ b/crates/cometmoor-core/tests/admission.rs
@@ -12,7 +12,7 @@
     Admission, AdmissionLimits, AdmissionRequest, Arrival, Decision, ShedReason, Slot, Ticket,
 };
 use cometmoor_core::catalog::{Resolved, base_artifact};
-use cometmoor_core::routing::{EngineRoute, RouteTable, TwoChoices};
+use cometmoor_core::routing::{EngineRoute, PowerOfTwoChoices, RouteTable};
 use cometmoor_core::time::Timestamp;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -70,7 +70,7 @@
 }
 
 struct World {
-    admission: Admission<TwoChoices>,
+    admission: Admission<PowerOfTwoChoices>,
     random: ChaCha8Rng,
     now: Timestamp,
     leaving: Option<u8>,
@@ -82,7 +82,7 @@
 impl World {
     fn new() -> World {
         let mut world = World {
-            admission: Admission::new(LIMITS, "z0", TwoChoices),
+            admission: Admission::new(LIMITS, "z0", PowerOfTwoChoices),
             random: ChaCha8Rng::seed_from_u64(1),
             now: Timestamp(1),
             leaving: None,
@@ -100,7 +100,7 @@
                 let deadline = self.now + Duration::from_millis(u64::from(patience) + 1);
                 let request = request(model, group, deadline);
                 let (arrival, decisions) =
-                    self.admission.arrive(request, self.now, &mut self.random);
+                    self.admission.submit(request, self.now, &mut self.random);
                 match arrival {
                     Arrival::Dispatched(slot) => self.started(slot),
                     Arrival::Waiting(ticket) => {
@@ -140,7 +140,7 @@
             }
             Step::Refused { engine } => {
                 let engine = format!("e{}", engine % ENGINES);
-                self.admission.note_leaving(&engine);
+                self.admission.mark_leaving(&engine);
                 self.refused.insert(engine);
             }
         }
@@ -204,7 +204,7 @@
 #[test]
 fn dispatches_follow_the_entitlements() {
     let limits = AdmissionLimits { waiting_per_model: 1_000, waiting_per_group: 500, ..LIMITS };
-    let mut admission = Admission::new(limits, "z0", TwoChoices);
+    let mut admission = Admission::new(limits, "z0", PowerOfTwoChoices);
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut now = Timestamp(1);
     admission.update_routes(table(None, now), now, &mut random);
@@ -214,7 +214,7 @@
     // Group 0 is busy alone at first; group 1 then arrives with as much.
     for group in [0, 1] {
         for _ in 0..300 {
-            let (arrival, _) = admission.arrive(request(0, group, far), now, &mut random);
+            let (arrival, _) = admission.submit(request(0, group, far), now, &mut random);
             match arrival {
                 Arrival::Dispatched(slot) => running.push(slot),
                 Arrival::Waiting(ticket) => {
@@ -242,22 +242,22 @@
 #[test]
 fn a_full_queue_sheds_the_group_that_is_furthest_above_its_entitlement() {
     let limits = AdmissionLimits { waiting_per_group: 4, ..LIMITS };
-    let mut admission = Admission::new(limits, "z0", TwoChoices);
+    let mut admission = Admission::new(limits, "z0", PowerOfTwoChoices);
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let now = Timestamp(1);
     admission.update_routes(table(None, now), now, &mut random);
     let far = Timestamp(u64::MAX);
     let mut flood = Vec::new();
     for _ in 0..8 {
-        let (arrival, _) = admission.arrive(request(0, 0, far), now, &mut random);
+        let (arrival, _) = admission.submit(request(0, 0, far), now, &mut random);
         if let Arrival::Waiting(ticket) = arrival {
             flood.push(ticket);
         }
     }
     assert_eq!(flood.len(), 4);
-    let (arrival, _) = admission.arrive(request(0, 0, far), now, &mut random);
+    let (arrival, _) = admission.submit(request(0, 0, far), now, &mut random);
     assert!(matches!(arrival, Arrival::Shed(shed) if shed.reason == ShedReason::QueueFull));
-    let (arrival, decisions) = admission.arrive(request(0, 1, far), now, &mut random);
+    let (arrival, decisions) = admission.submit(request(0, 1, far), now, &mut random);
     assert!(matches!(arrival, Arrival::Waiting(_)), "{arrival:?}");
     assert!(matches!(decisions[..], [Decision::Shed(ticket, _)] if ticket == flood[3]));
 }
@@ -268,7 +268,7 @@
     let mut world = World::new();
     world.now = world.now + MAX_REPORT_AGE + Duration::from_millis(1);
     let patient = request(0, 0, Timestamp(u64::MAX));
-    let (arrival, _) = world.admission.arrive(patient, world.now, &mut world.random);
+    let (arrival, _) = world.admission.submit(patient, world.now, &mut world.random);
     let Arrival::Waiting(ticket) = arrival else { panic!("{arrival:?}") };
     let fresh = table(None, world.now);
     let decisions = world.admission.update_routes(fresh, world.now, &mut world.random);
@@ -280,6 +280,6 @@
     let mut world = World::new();
     let mut refused = request(0, 0, Timestamp(u64::MAX));
     refused.excluded = (0..ENGINES).map(|index| format!("e{index}")).collect();
-    let (arrival, _) = world.admission.arrive(refused, world.now, &mut world.random);
+    let (arrival, _) = world.admission.submit(refused, world.now, &mut world.random);
     assert!(matches!(arrival, Arrival::Shed(shed) if shed.reason == ShedReason::NoEngine));
 }
