--- a/crates/cometmoor-core/src/gateway/signals/server.rs
+++ b/crates/cometmoor-core/src/gateway/signals/server.rs
@@ -5,7 +5,7 @@
 use super::limit::{KnownLimit, LimitReport, limit_change};
 use super::{Denial, Hold, IncarnationHash, SignalChange, SignalReport};
 use crate::gateway::quota::VersionedLimit;
-use crate::gateway::quota::server_limit::{denied_for, server_limit};
+use crate::gateway::quota::server_limit::{denial_backoff, server_limit};
 use crate::time::BootInstant;
 
 /// Time for which it is remembered that a server leaves: longer than one takes to be gone.
@@ -147,7 +147,7 @@
         }
         let Some(limit) = self.quota() else { return };
         let retry_after = denial.retry_after();
-        let recheck_at = now + denied_for(&limit, nodes, retry_after);
+        let recheck_at = now + denial_backoff(&limit, nodes, retry_after);
         self.denied = Some(Denied { recheck_at, retry_at: now + retry_after });
     }
 
