--- a/crates/cometmoor-core/src/gateway/signals/mod.rs
+++ b/crates/cometmoor-core/src/gateway/signals/mod.rs
@@ -1,10 +1,11 @@
-//! What servers report of themselves in their answers: a limit on the requests a second that
-//! they take from all nodes together, that they are leaving, and a rest from this node.
+//! Signals that servers send in their responses: a limit on the requests per second from all
+//! nodes together, a notice that the server is leaving, and a rest, during which this node sends
+//! it nothing.
 //!
-//! An answer may overtake another one. What it reports was true at some moment between its
-//! request and its head; where those spans of two answers overlap, neither is known to be
-//! the later one, and the stricter counts. Nodes report to one another what they learn, a
-//! bounded number of records with each message.
+//! Responses may arrive out of order. A signal was true at some time between the sending of the
+//! request and the receipt of the response head. If the windows of two responses overlap, their
+//! order is unknown and the stricter limit takes effect. Nodes exchange what they learn, with a
+//! bounded number of records per message.
 
 mod limit;
 mod server;
@@ -17,17 +18,17 @@
 
 use self::limit::KnownLimit;
 pub use self::limit::LimitReport;
-use self::server::{LEAVING_REMEMBERED_FOR, ServerSignals};
+use self::server::{LEAVING_RETENTION, ServerSignals};
 use super::quota::{QuotaKey, VersionedLimit};
 use crate::time::BootInstant;
 
-/// Servers that are remembered: six times as many as at the size to design for. One takes
-/// some 100 bytes.
-const MOST_SERVERS: usize = 4096;
-/// Records in one message: 1.2 KB at the most.
-const MOST_REPORTED: usize = 40;
+/// Maximum number of servers in the table: six times as many as the design size. An entry takes
+/// about 100 bytes.
+const MAX_SERVERS: usize = 4096;
+/// Maximum number of records in one message, at most 1.2 KB.
+const MAX_REPORTS_PER_MESSAGE: usize = 40;
 
-/// Identifies one incarnation of a server, as a hash of its name.
+/// Identifies one incarnation of a server by the hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct IncarnationHash(u64);
 
@@ -44,63 +45,63 @@
 }
 
 impl IncarnationHash {
-    /// Of an incarnation's name.
+    /// Hashes the name of an incarnation.
     pub fn of(incarnation: &str) -> IncarnationHash {
         IncarnationHash(xxhash_rust::xxh3::xxh3_64(incarnation.as_bytes()))
     }
 }
 
-/// What an answer says of a limit on its server.
+/// The limit signal of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum LimitSignal {
-    /// There is none.
+    /// No limit.
     #[default]
     Unlimited,
-    /// So many requests a second from all nodes together.
+    /// Requests per second from all nodes together.
     PerSecond(f64),
-    /// It says something that is no number; what was known before stays.
+    /// The value is not a number; the known limit is kept.
     Unreadable,
 }
 
-/// What an answer says of its server.
+/// The signals of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResponseSignals {
-    /// Its limit.
+    /// The limit of the server.
     pub limit: LimitSignal,
-    /// Whether it is leaving.
+    /// Whether the server is leaving.
     pub is_leaving: bool,
-    /// For how long this node is to send it nothing.
+    /// How long this node must send the server nothing; `None` if it asks for no rest.
     pub rest: Option<Duration>,
 }
 
-/// The span in which an answer's signals were true at some moment.
+/// The interval that contains the time at which a response's signals were true.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservationWindow {
-    /// When its request was sent.
+    /// When the request was sent.
     pub sent: BootInstant,
-    /// When its head was read.
+    /// When the response head was received.
     pub received: BootInstant,
 }
 
-/// A change of what is known of a server.
+/// A change to the known signals of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SignalChange {
-    /// It names a limit, in requests a second.
+    /// The server has set a limit, in requests per second.
     LimitSet(f64),
-    /// It names another limit than before.
+    /// The limit has changed to this number of requests per second.
     LimitChanged(f64),
-    /// It names none any more.
+    /// The limit was removed.
     LimitLifted,
-    /// It is leaving.
+    /// The server is leaving.
     Leaving,
-    /// It is to get nothing from this node for so long.
+    /// The server has asked this node for a rest of this duration.
     RestRequested(Duration),
-    /// That time is over.
+    /// The rest is over.
     RestEnded,
 }
 
 impl SignalChange {
-    /// Name of the signal in log lines and metrics.
+    /// Name of the signal in metrics.
     pub fn signal(&self) -> &'static str {
         match self {
             SignalChange::LimitSet(_)
@@ -111,12 +112,12 @@
         }
     }
 
-    /// Whether other nodes hear of it: a rest is between the server and this node.
+    /// Whether the change is reported to other nodes: a rest concerns only this node.
     pub fn is_reported(&self) -> bool {
         !matches!(self, SignalChange::RestRequested(_) | SignalChange::RestEnded)
     }
 
-    /// Name of what happened to it.
+    /// Name of the event in metrics.
     pub fn event(&self) -> &'static str {
         match self {
             SignalChange::LimitSet(_) | SignalChange::Leaving | SignalChange::RestRequested(_) => {
@@ -128,35 +129,35 @@
     }
 }
 
-/// Servers under each signal.
+/// Number of servers under each signal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SignalCounts {
-    /// With a limit.
+    /// Servers with a limit.
     pub limited: usize,
-    /// Leaving by their own word.
+    /// Servers that have announced that they are leaving.
     pub leaving: usize,
-    /// That this node leaves alone.
+    /// Servers that are in a rest from this node.
     pub resting: usize,
 }
 
-/// Why a server gets no request from this node now.
+/// Why this node currently sends a server no requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Hold {
-    /// It is leaving.
+    /// The server is leaving.
     Leaving,
-    /// It has asked this node for a rest, which goes on for so long.
+    /// The server has asked this node for a rest, with this time left.
     Resting(Duration),
-    /// Its limit is used up.
+    /// This node was denied a part of the server's limit.
     OverLimit {
-        /// When this node asks for a part of it again.
+        /// Time until this node asks for a part of the limit again.
         recheck_after: Duration,
-        /// When there is one for a caller who comes back.
+        /// Time after which a client should retry.
         retry_after: Duration,
     },
 }
 
 impl Hold {
-    /// Name in log lines and metrics.
+    /// Name of the reason in log lines and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Hold::Leaving => "leaving",
@@ -165,37 +166,37 @@
         }
     }
 
-    /// When the server is considered again.
+    /// Time until the server is a candidate again.
     pub fn recheck_after(self) -> Duration {
         match self {
-            Hold::Leaving => LEAVING_REMEMBERED_FOR,
+            Hold::Leaving => LEAVING_RETENTION,
             Hold::Resting(left) => left,
             Hold::OverLimit { recheck_after, .. } => recheck_after,
         }
     }
 
-    /// When a caller should come back whom no other server can serve.
+    /// Time after which a client should retry if no other server can serve it.
     pub fn retry_after(self) -> Duration {
         match self {
-            Hold::Leaving => LEAVING_REMEMBERED_FOR,
+            Hold::Leaving => LEAVING_RETENTION,
             Hold::Resting(left) => left,
             Hold::OverLimit { retry_after, .. } => retry_after,
         }
     }
 }
 
-/// Why a part of a server's limit was denied to a node.
+/// Why a node was denied a part of a server's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// The limit is used up; there is a part for a caller who comes back after this time.
+    /// The limit is used up. A client may be served if it retries after this time.
     Exhausted(Duration),
-    /// Nobody could tell, which says nothing of the limit; it is asked for again after this
+    /// No decision was made, which says nothing about the limit. The node asks again after this
     /// time.
     Undecided(Duration),
 }
 
 impl Denial {
-    /// When a caller should come back.
+    /// Time after which a client should retry.
     pub fn retry_after(self) -> Duration {
         match self {
             Denial::Exhausted(retry_after) | Denial::Undecided(retry_after) => retry_after,
@@ -203,27 +204,27 @@
     }
 }
 
-/// What a node reports of a server.
+/// A node's report of a server's signals.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SignalReport {
     /// The server.
     pub server: IncarnationHash,
-    /// The last word on its limit.
+    /// The limit; `None` if none has been observed.
     pub limit: Option<LimitReport>,
-    /// Whether it is leaving.
+    /// Whether the server is leaving.
     pub is_leaving: bool,
 }
 
-/// What a node knows of servers by what they report of themselves.
+/// The signals of all servers as known to a node.
 #[derive(Clone, Debug, Default)]
 pub struct SignalTable {
     servers: HashMap<IncarnationHash, ServerSignals>,
-    /// Number of the last change of any server's limit.
+    /// Incremented for each response or report; versions the limits.
     revision: u64,
 }
 
 impl SignalTable {
-    /// Takes what an answer says of its server; returns what that changes.
+    /// Applies the signals of a response and returns the resulting changes.
     pub fn note_response(
         &mut self,
         server: IncarnationHash,
@@ -242,14 +243,14 @@
             LimitSignal::Unreadable => None,
         };
         let limit = per_second.and_then(|per_second| {
-            known.take_limit(KnownLimit::new(per_second, observed), revision)
+            known.update_limit(KnownLimit::new(per_second, observed), revision)
         });
-        let leaving = signals.is_leaving.then(|| known.take_leaving(now)).flatten();
-        let rest = signals.rest.and_then(|rest| known.take_rest(rest, now));
+        let leaving = signals.is_leaving.then(|| known.mark_leaving(now)).flatten();
+        let rest = signals.rest.and_then(|rest| known.start_rest(rest, now));
         [limit, leaving, rest].into_iter().flatten().collect()
     }
 
-    /// Takes what other nodes report; returns what that changes.
+    /// Merges reports of other nodes and returns the resulting changes.
     pub fn merge(
         &mut self,
         reports: &[SignalReport],
@@ -259,72 +260,72 @@
         for report in reports {
             let revision = self.next_revision();
             let known = self.entry(report.server, now);
-            let limit = report.limit.and_then(|limit| limit.read(now));
-            let limit = limit.and_then(|word| known.take_limit(word, revision));
-            let leaving = report.is_leaving.then(|| known.take_leaving(now)).flatten();
+            let limit = report.limit.and_then(|limit| limit.to_known_limit(now));
+            let limit = limit.and_then(|limit| known.update_limit(limit, revision));
+            let leaving = report.is_leaving.then(|| known.mark_leaving(now)).flatten();
             changes.extend(limit.into_iter().chain(leaving).map(|change| (report.server, change)));
         }
         changes
     }
 
-    /// What the next message to other nodes carries: what has changed lately.
+    /// Records for the next message to other nodes, those with the most transmissions left first.
     pub fn next_reports(&mut self, now: BootInstant) -> Vec<SignalReport> {
-        let due = self.servers.iter_mut().filter(|(_, known)| known.reports_left() > 0);
+        let due = self.servers.iter_mut().filter(|(_, known)| known.transmissions_left() > 0);
         let mut due: Vec<(&IncarnationHash, &mut ServerSignals)> = due.collect();
-        due.sort_unstable_by_key(|(server, known)| (Reverse(known.reports_left()), **server));
-        due.truncate(MOST_REPORTED);
+        due.sort_unstable_by_key(|(server, known)| (Reverse(known.transmissions_left()), **server));
+        due.truncate(MAX_REPORTS_PER_MESSAGE);
         let reports = due.into_iter().map(|(server, known)| known.next_report(*server, now));
         reports.collect()
     }
 
-    /// What this node knows of one server.
+    /// The record of one server; `None` if nothing is known of it.
     pub fn report(&self, server: IncarnationHash, now: BootInstant) -> Option<SignalReport> {
         Some(self.servers.get(&server)?.report(server, now))
     }
 
-    /// Reports everything again: a node may have come that lacks it.
+    /// Schedules all records for transmission again, for a node that may have joined without them.
     pub fn report_again(&mut self) {
         self.servers.values_mut().for_each(ServerSignals::report_again);
     }
 
-    /// Share of this node's requests that a server takes part in the choice for: less than 1
-    /// for a while after its limit or rest has ended, so that not all nodes send at once what
-    /// they have held back.
+    /// Share of this node's requests for which a server is a candidate. It is less than 1 for a
+    /// while after a limit or rest has ended, so that the nodes do not all send the requests they
+    /// have held back at once.
     pub fn slow_start_share(&self, server: IncarnationHash, now: BootInstant) -> f64 {
         self.servers.get(&server).map_or(1.0, |known| known.slow_start_share(now))
     }
 
-    /// Takes that a server is leaving, by an answer to something else than a request; returns
-    /// whether that is new.
+    /// Records that a server is leaving, as learned from something other than a response to a
+    /// forwarded request. Returns whether that was unknown.
     pub fn note_leaving(&mut self, server: IncarnationHash, now: BootInstant) -> bool {
-        self.entry(server, now).take_leaving(now).is_some()
+        self.entry(server, now).mark_leaving(now).is_some()
     }
 
-    /// Whether a server is leaving by its own word. That holds for its life, whatever its
-    /// entry says: the store may be slow or silent.
+    /// Whether a server has announced that it is leaving. This is final for the incarnation,
+    /// whatever its registry entry says: the store may be slow or unreachable.
     pub fn is_leaving(&self, server: IncarnationHash) -> bool {
         self.servers.get(&server).is_some_and(|known| known.is_leaving())
     }
 
-    /// Why a server gets no request from this node now.
+    /// Why this node currently sends a server no requests; `None` if it may send some.
     pub fn hold(&self, server: IncarnationHash, now: BootInstant) -> Option<Hold> {
         self.servers.get(&server)?.hold(now)
     }
 
-    /// The limit of a server, as a quota of all nodes. Its version rises with each change
-    /// that this node learns of.
+    /// The limit of a server as a quota shared by all nodes. Its version increases with each
+    /// change that this node learns of.
     pub fn limit(&self, server: IncarnationHash) -> Option<VersionedLimit> {
         self.servers.get(&server)?.quota()
     }
 
-    /// Notes that a part of a server's limit was granted to this node.
+    /// Records that this node was granted a part of a server's limit.
     pub fn note_granted(&mut self, server: IncarnationHash) {
         if let Some(known) = self.servers.get_mut(&server) {
             known.note_granted();
         }
     }
 
-    /// Notes that a part of a server's limit was denied to one of so many nodes.
+    /// Records that this node, one of `nodes`, was denied a part of a server's limit.
     pub fn note_denied(
         &mut self,
         server: IncarnationHash,
@@ -343,18 +344,18 @@
     }
 
     fn entry(&mut self, server: IncarnationHash, now: BootInstant) -> &mut ServerSignals {
-        if self.servers.len() >= MOST_SERVERS && !self.servers.contains_key(&server) {
-            let oldest = self.servers.iter().min_by_key(|(_, known)| known.learned());
+        if self.servers.len() >= MAX_SERVERS && !self.servers.contains_key(&server) {
+            let oldest = self.servers.iter().min_by_key(|(_, known)| known.updated_at());
             if let Some(oldest) = oldest.map(|(server, _)| *server) {
                 self.servers.remove(&oldest);
             }
         }
         let known = self.servers.entry(server).or_default();
-        known.note_learned(now);
+        known.touch(now);
         known
     }
 
-    /// Lets time pass; returns the servers whose rest has ended.
+    /// Expires rests and outdated records. Returns the servers whose rest has ended.
     pub fn tick(&mut self, now: BootInstant) -> Vec<IncarnationHash> {
         let mut rested = Vec::new();
         for (server, known) in &mut self.servers {
@@ -362,11 +363,11 @@
                 rested.push(*server);
             }
         }
-        self.servers.retain(|_, known| known.is_remembered(now));
+        self.servers.retain(|_, known| known.is_retained(now));
         rested
     }
 
-    /// Servers under each signal.
+    /// Counts the servers under each signal.
     pub fn counts(&self, now: BootInstant) -> SignalCounts {
         let mut counts = SignalCounts::default();
         for known in self.servers.values() {
--- a/crates/cometmoor-core/src/gateway/signals/server.rs
+++ b/crates/cometmoor-core/src/gateway/signals/server.rs
@@ -1,4 +1,4 @@
-//! What a node knows of one server by what it reports of itself.
+//! The signals of one server as known to this node.
 
 use std::time::Duration;
 
@@ -8,46 +8,47 @@
 use crate::gateway::quota::server_limit::{denial_backoff, server_limit};
 use crate::time::BootInstant;
 
-/// Time for which it is remembered that a server leaves: longer than one takes to be gone.
-pub(super) const LEAVING_REMEMBERED_FOR: Duration = Duration::from_secs(3600);
-/// Time for which it is remembered that a server has no limit any more: answers that are
-/// still on their way are older.
-const UNLIMITED_REMEMBERED_FOR: Duration = Duration::from_secs(60);
-/// Messages that carry a record after it has changed. Of datagrams one in twenty may be
-/// lost, and hubs pass on what they are sent.
-const REPORTS: u32 = 12;
-/// Time over which a server comes back into use after its limit or rest has ended, and the
-/// share of requests that it begins with.
-const EASED_FOR: Duration = Duration::from_secs(2);
-const LEAST_EASED_SHARE: f64 = 0.05;
-
-/// A part of a limit that was refused.
+/// How long the leaving signal of a server is retained: longer than a server takes to shut down.
+pub(super) const LEAVING_RETENTION: Duration = Duration::from_secs(3600);
+/// How long the end of a server's limit is retained, so that older responses and reports still in
+/// transit do not restore the limit.
+const UNLIMITED_RETENTION: Duration = Duration::from_secs(60);
+/// Number of messages that carry a record after it has changed. One in twenty datagrams may be
+/// lost, and hubs forward the records they receive.
+const TRANSMISSIONS: u32 = 12;
+/// Duration of the slow start of a server after its limit or rest has ended.
+const SLOW_START: Duration = Duration::from_secs(2);
+/// Share of requests at the beginning of a slow start.
+const MIN_SLOW_START_SHARE: f64 = 0.05;
+
+/// A denied part of a server's limit. Until `recheck_at` this node does not ask for another one;
+/// from `retry_at` on there may be one for a client that retries.
 #[derive(Clone, Copy, Debug)]
 struct Denied {
     recheck_at: BootInstant,
     retry_at: BootInstant,
 }
 
-/// What is known of one server.
+/// The signals of one server.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServerSignals {
     limit: Option<KnownLimit>,
-    /// Since when it is known to be leaving.
+    /// When this node learned that the server is leaving.
     leaving: Option<BootInstant>,
     rest_until: Option<BootInstant>,
-    /// Set while its limit is used up, as far as this node was told.
+    /// The last denial under the current limit.
     denied: Option<Denied>,
-    /// Least limit under which a request of this node was granted, and none refused since:
-    /// such a limit holds nothing back here.
-    ample_from: Option<f64>,
-    /// When a limit or a rest of it last ended that may have held requests back.
-    eased: Option<BootInstant>,
-    /// Number of the last change of its limit.
+    /// The lowest limit under which a request of this node was granted since the last exhaustion.
+    /// A limit at least this high is taken not to restrict this node.
+    nonbinding_limit: Option<f64>,
+    /// When the last limit or rest ended that may have held requests back.
+    slow_start_from: Option<BootInstant>,
+    /// The table's revision at the last change of the limit.
     revision: u64,
-    /// Messages that are yet to carry the record.
-    reports_left: u32,
-    /// When anything was last learned.
-    learned: BootInstant,
+    /// Number of messages still to carry the record.
+    transmissions_left: u32,
+    /// When a response or report was last processed.
+    updated_at: BootInstant,
 }
 
 impl ServerSignals {
@@ -55,16 +56,16 @@
         self.limit.and_then(|limit| limit.per_second)
     }
 
-    pub(super) fn take_limit(&mut self, word: KnownLimit, revision: u64) -> Option<SignalChange> {
+    pub(super) fn update_limit(&mut self, new: KnownLimit, revision: u64) -> Option<SignalChange> {
         let before = self.per_second();
         match &mut self.limit {
-            Some(known) => known.take(word),
-            None => self.limit = Some(word),
+            Some(known) => known.merge(new),
+            None => self.limit = Some(new),
         }
         let change = limit_change(before, self.per_second())?;
-        let was_ample = self.ample_from.is_some() && before >= self.ample_from;
-        if change == SignalChange::LimitLifted && !was_ample {
-            self.eased = Some(self.learned);
+        let was_nonbinding = self.nonbinding_limit.is_some() && before >= self.nonbinding_limit;
+        if change == SignalChange::LimitLifted && !was_nonbinding {
+            self.slow_start_from = Some(self.updated_at);
         }
         self.revision = revision;
         self.report_again();
@@ -85,18 +86,22 @@
         Some(Hold::OverLimit { recheck_after, retry_after })
     }
 
-    pub(super) fn take_leaving(&mut self, now: BootInstant) -> Option<SignalChange> {
+    pub(super) fn mark_leaving(&mut self, now: BootInstant) -> Option<SignalChange> {
         if self.leaving.is_some() {
             return None;
         }
         self.leaving = Some(now);
-        self.reports_left = REPORTS;
+        self.transmissions_left = TRANSMISSIONS;
         Some(SignalChange::Leaving)
     }
 
-    /// Takes a rest; a longer one that was asked before goes on.
-    pub(super) fn take_rest(&mut self, rest: Duration, asked: BootInstant) -> Option<SignalChange> {
-        let until = asked + rest;
+    /// Starts a rest, unless an earlier one ends no sooner.
+    pub(super) fn start_rest(
+        &mut self,
+        rest: Duration,
+        requested: BootInstant,
+    ) -> Option<SignalChange> {
+        let until = requested + rest;
         if rest.is_zero() || self.rest_until.is_some_and(|known| known >= until) {
             return None;
         }
@@ -113,37 +118,38 @@
         self.rest_until.is_some_and(|until| now < until)
     }
 
-    pub(super) fn is_remembered(&self, now: BootInstant) -> bool {
-        let knows_leaving =
-            self.leaving.is_some_and(|since| now.since(since) < LEAVING_REMEMBERED_FOR);
-        let knows_limit = self.limit.is_some_and(|limit| {
+    pub(super) fn is_retained(&self, now: BootInstant) -> bool {
+        let retains_leaving =
+            self.leaving.is_some_and(|since| now.since(since) < LEAVING_RETENTION);
+        let retains_limit = self.limit.is_some_and(|limit| {
             let age = now.since(limit.observed.received);
-            limit.per_second.is_some() || age < UNLIMITED_REMEMBERED_FOR
+            limit.per_second.is_some() || age < UNLIMITED_RETENTION
         });
-        let is_eased = self.eased.is_some_and(|ended| now.since(ended) < EASED_FOR);
-        knows_leaving || knows_limit || is_eased || self.rest_until.is_some()
+        let is_slow_starting =
+            self.slow_start_from.is_some_and(|ended| now.since(ended) < SLOW_START);
+        retains_leaving || retains_limit || is_slow_starting || self.rest_until.is_some()
     }
 
-    /// Whether it is leaving by its own word.
+    /// Whether the server has announced that it is leaving.
     pub(super) fn is_leaving(&self) -> bool {
         self.leaving.is_some()
     }
 
-    /// Its limit, as a quota of all nodes.
+    /// The limit as a quota shared by all nodes.
     pub(super) fn quota(&self) -> Option<VersionedLimit> {
         self.per_second().map(|per_second| server_limit(per_second, self.revision))
     }
 
-    /// Notes that a part of its limit was granted to this node.
+    /// Records that this node was granted a part of the limit.
     pub(super) fn note_granted(&mut self) {
         let Some(limit) = self.per_second() else { return };
-        self.ample_from = Some(self.ample_from.map_or(limit, |known| known.min(limit)));
+        self.nonbinding_limit = Some(self.nonbinding_limit.map_or(limit, |known| known.min(limit)));
     }
 
-    /// Notes that a part of its limit was denied to one of so many nodes.
+    /// Records that this node, one of `nodes`, was denied a part of the limit.
     pub(super) fn note_denied(&mut self, nodes: usize, denial: Denial, now: BootInstant) {
         if matches!(denial, Denial::Exhausted(_)) {
-            self.ample_from = None;
+            self.nonbinding_limit = None;
         }
         let Some(limit) = self.quota() else { return };
         let retry_after = denial.retry_after();
@@ -151,50 +157,50 @@
         self.denied = Some(Denied { recheck_at, retry_at: now + retry_after });
     }
 
-    /// Share of requests that it takes part in the choice for.
+    /// Share of requests for which the server is a candidate: 1 outside of a slow start.
     pub(super) fn slow_start_share(&self, now: BootInstant) -> f64 {
-        let ended = self.rest_until.filter(|until| now >= *until).max(self.eased);
+        let ended = self.rest_until.filter(|until| now >= *until).max(self.slow_start_from);
         let Some(ended) = ended else { return 1.0 };
-        let part = now.since(ended).as_secs_f64() / EASED_FOR.as_secs_f64();
-        (LEAST_EASED_SHARE + (1.0 - LEAST_EASED_SHARE) * part).min(1.0)
+        let progress = now.since(ended).as_secs_f64() / SLOW_START.as_secs_f64();
+        (MIN_SLOW_START_SHARE + (1.0 - MIN_SLOW_START_SHARE) * progress).min(1.0)
     }
 
-    /// Ends its rest if that is over; tells whether it was.
+    /// Clears a rest that is over and returns whether there was one.
     pub(super) fn end_rest(&mut self, now: BootInstant) -> bool {
         let is_over = self.rest_until.is_some_and(|until| now >= until);
         if is_over {
-            self.eased = self.rest_until.take();
+            self.slow_start_from = self.rest_until.take();
         }
         is_over
     }
 
-    /// Messages that are yet to carry the record.
-    pub(super) fn reports_left(&self) -> u32 {
-        self.reports_left
+    /// Number of messages still to carry the record.
+    pub(super) fn transmissions_left(&self) -> u32 {
+        self.transmissions_left
     }
 
-    /// Has the next messages carry the record.
+    /// Schedules the record for the next messages again.
     pub(super) fn report_again(&mut self) {
-        self.reports_left = REPORTS;
+        self.transmissions_left = TRANSMISSIONS;
     }
 
-    /// The record for a message that carries it.
+    /// Returns the record for one message and counts the transmission.
     pub(super) fn next_report(
         &mut self,
         server: IncarnationHash,
         now: BootInstant,
     ) -> SignalReport {
-        self.reports_left = self.reports_left.saturating_sub(1);
+        self.transmissions_left = self.transmissions_left.saturating_sub(1);
         self.report(server, now)
     }
 
-    /// When anything was last learned.
-    pub(super) fn learned(&self) -> BootInstant {
-        self.learned
+    /// When a response or report was last processed.
+    pub(super) fn updated_at(&self) -> BootInstant {
+        self.updated_at
     }
 
-    /// Notes that something may be learned now.
-    pub(super) fn note_learned(&mut self, now: BootInstant) {
-        self.learned = now;
+    /// Records that a response or report is being processed.
+    pub(super) fn touch(&mut self, now: BootInstant) {
+        self.updated_at = now;
     }
 }
