--- a/crates/cometmoor-core/src/gateway/planner/adapters.rs
+++ b/crates/cometmoor-core/src/gateway/planner/adapters.rs
@@ -1,4 +1,4 @@
-//! Orders for adapters, on servers that hold their models.
+//! Orders for adapters on servers that hold their base models.
 
 use std::collections::HashMap;
 
@@ -6,143 +6,143 @@
 use super::Planner;
 use super::inventory::{Adapter, ModelIndex, ServerIndex};
 
-/// Requests a second that an adapter counts for, besides what is asked of it,
-/// where no server would hold it: it has to stay reachable.
-const REACHABLE: f64 = 0.02;
-/// The same for one that requests wait for now.
-const WAITED_FOR: f64 = 2.0;
-/// Part by which an adapter must be worth more than the one whose place it takes.
-const CLEARLY_MORE: f64 = 1.2;
-/// Weight of a wish for an adapter that no server holds.
-const NOBODY_HOLDS: f64 = 1000.0;
+/// Value of an adapter's only copy besides its demand, in requests per second: every adapter must
+/// stay reachable.
+const REACHABILITY_VALUE: f64 = 0.02;
+/// The same value for an adapter that requests are waiting for.
+const AWAITED_VALUE: f64 = 2.0;
+/// Factor by which the value of an adapter must exceed that of the one it replaces.
+const MIN_REPLACEMENT_GAIN: f64 = 1.2;
+/// Priority of an adapter that no server holds over those that only need another copy.
+const MISSING_PRIORITY: f64 = 1000.0;
 
-/// What is known of an adapter.
+/// Demand and copies of an adapter.
 #[derive(Clone, Copy, Debug, Default)]
-struct AdapterUse {
-    /// Requests a second.
-    asked: f64,
-    /// Whether requests wait for it now.
-    is_waited_for: bool,
-    /// Servers that hold it, or may come to.
+struct AdapterUsage {
+    /// Requests per second.
+    requests_per_second: f64,
+    /// Whether requests are waiting for it.
+    is_awaited: bool,
+    /// Number of servers that hold it or may hold it.
     holders: usize,
 }
 
-impl AdapterUse {
-    /// What a copy beside so many others is worth, in requests a second.
-    fn worth(&self, others: usize) -> f64 {
-        let only = match others {
-            0 if self.is_waited_for => WAITED_FOR,
-            0 => REACHABLE,
+impl AdapterUsage {
+    /// Value of one copy besides `others`, in requests per second.
+    fn copy_value(&self, others: usize) -> f64 {
+        let base = match others {
+            0 if self.is_awaited => AWAITED_VALUE,
+            0 => REACHABILITY_VALUE,
             _ => 0.0,
         };
-        only + self.asked / (others + 1) as f64
+        base + self.requests_per_second / (others + 1) as f64
     }
 
-    /// What one of its copies is worth.
-    fn worth_of_copy(&self) -> f64 {
-        self.worth(self.holders.saturating_sub(1))
+    /// Value of one of the existing copies.
+    fn existing_copy_value(&self) -> f64 {
+        self.copy_value(self.holders.saturating_sub(1))
     }
 }
 
-/// Adds orders for adapters: first for those that no server holds, then for
-/// those that are asked for.
-pub(super) fn bring_adapters(planner: &mut Planner<'_>) {
-    let uses = planner.adapter_uses();
+/// Adds orders for adapters: first those that no server holds, then those in demand.
+pub(super) fn plan_adapters(planner: &mut Planner<'_>) {
+    let usage = planner.adapter_usage();
     let mut serving: HashMap<ModelIndex, Vec<ServerIndex>> = HashMap::new();
-    for (server, stock) in planner.stocks.iter().enumerate() {
-        for model in &stock.serving {
+    for (server, inventory) in planner.inventories.iter().enumerate() {
+        for model in &inventory.serving {
             serving.entry(*model).or_default().push(server);
         }
     }
-    for adapter in planner.adapter_wishes(&uses) {
+    for adapter in planner.wanted_adapters(&usage) {
         let servers = serving.get(&adapter.model).map(Vec::as_slice).unwrap_or_default();
-        planner.bring_adapter(adapter, servers, &uses);
+        planner.plan_adapter(adapter, servers, &usage);
     }
 }
 
 impl Planner<'_> {
-    fn adapter_uses(&self) -> HashMap<Adapter, AdapterUse> {
-        let mut uses = HashMap::new();
+    fn adapter_usage(&self) -> HashMap<Adapter, AdapterUsage> {
+        let mut usage = HashMap::new();
         for (model, profile) in self.profile.models.iter().enumerate() {
             for number in 1..=profile.adapters {
                 let weights = Weights::adapter(&profile.name, &profile.adapter_name(number));
-                let known = AdapterUse {
-                    asked: self.demand.adapters.get(&weights).copied().unwrap_or(0.0),
-                    is_waited_for: self.demand.awaited_adapters.contains(&weights),
+                let known = AdapterUsage {
+                    requests_per_second: self.demand.adapters.get(&weights).copied().unwrap_or(0.0),
+                    is_awaited: self.demand.awaited_adapters.contains(&weights),
                     holders: 0,
                 };
-                uses.insert(Adapter { model, number }, known);
+                usage.insert(Adapter { model, number }, known);
             }
         }
-        for adapter in self.stocks.iter().flat_map(|stock| &stock.adapters) {
-            if let Some(known) = uses.get_mut(adapter) {
+        for adapter in self.inventories.iter().flat_map(|inventory| &inventory.adapters) {
+            if let Some(known) = usage.get_mut(adapter) {
                 known.holders += 1;
             }
         }
-        uses
+        usage
     }
 
-    /// Adapters that should be on one more server, the most wanted first.
-    fn adapter_wishes(&self, uses: &HashMap<Adapter, AdapterUse>) -> Vec<Adapter> {
-        let mut wishes: Vec<(f64, Adapter)> = Vec::new();
-        for (adapter, known) in uses {
+    /// Adapters that should be on one more server, those of the highest priority first.
+    fn wanted_adapters(&self, usage: &HashMap<Adapter, AdapterUsage>) -> Vec<Adapter> {
+        let mut wanted: Vec<(f64, Adapter)> = Vec::new();
+        for (adapter, known) in usage {
             let copies = self.coverage.models[adapter.model].copies;
             if known.holders == 0 {
-                wishes.push((NOBODY_HOLDS + known.worth(0), *adapter));
-            } else if known.holders < copies && known.asked > 0.0 {
-                wishes.push((known.worth_of_copy(), *adapter));
+                wanted.push((MISSING_PRIORITY + known.copy_value(0), *adapter));
+            } else if known.holders < copies && known.requests_per_second > 0.0 {
+                wanted.push((known.existing_copy_value(), *adapter));
             }
         }
-        wishes.sort_by(|left, right| right.0.total_cmp(&left.0).then(left.1.cmp(&right.1)));
-        wishes.into_iter().map(|(_, adapter)| adapter).collect()
+        wanted.sort_by(|left, right| right.0.total_cmp(&left.0).then(left.1.cmp(&right.1)));
+        wanted.into_iter().map(|(_, adapter)| adapter).collect()
     }
 
-    fn bring_adapter(
+    fn plan_adapter(
         &mut self,
         adapter: Adapter,
         servers: &[ServerIndex],
-        uses: &HashMap<Adapter, AdapterUse>,
+        usage: &HashMap<Adapter, AdapterUsage>,
     ) {
         let slots = self.profile.adapter_slots as usize;
-        let stock = |server: ServerIndex| &self.stocks[server];
-        let with_room = servers
+        let inventory = |server: ServerIndex| &self.inventories[server];
+        let with_free_slot = servers
             .iter()
             .copied()
-            .filter(|server| !stock(*server).adapters.contains(&adapter))
-            .filter(|server| stock(*server).adapters.len() < slots)
-            .min_by_key(|server| (!stock(*server).is_free, stock(*server).adapters.len()));
-        match with_room {
-            Some(server) if stock(server).is_free => {
+            .filter(|server| !inventory(*server).adapters.contains(&adapter))
+            .filter(|server| inventory(*server).adapters.len() < slots)
+            .min_by_key(|server| (!inventory(*server).is_idle, inventory(*server).adapters.len()));
+        match with_free_slot {
+            Some(server) if inventory(server).is_idle => {
                 self.order_adapter(server, Action::Load, adapter);
             }
             Some(_) => {}
             None => {
-                let known = uses.get(&adapter).copied().unwrap_or_default();
+                let known = usage.get(&adapter).copied().unwrap_or_default();
                 if known.holders == 0 {
-                    self.make_room_for_adapter(known.worth(0), servers, uses);
+                    self.make_room_for_adapter(known.copy_value(0), servers, usage);
                 }
             }
         }
     }
 
-    /// Takes out the adapter that is worth least, if the one that needs its
-    /// place is worth clearly more.
+    /// Unloads the adapter of the least value if the one that needs its slot exceeds that value by
+    /// the factor [`MIN_REPLACEMENT_GAIN`].
     fn make_room_for_adapter(
         &mut self,
-        worth: f64,
+        value: f64,
         servers: &[ServerIndex],
-        uses: &HashMap<Adapter, AdapterUse>,
+        usage: &HashMap<Adapter, AdapterUsage>,
     ) {
-        let free = servers.iter().copied().filter(|server| self.stocks[*server].is_free);
-        let held = free.flat_map(|server| {
-            self.stocks[server].held_adapters.iter().map(move |adapter| (server, *adapter))
+        let idle = servers.iter().copied().filter(|server| self.inventories[*server].is_idle);
+        let held = idle.flat_map(|server| {
+            self.inventories[server].held_adapters.iter().map(move |adapter| (server, *adapter))
         });
-        let worth_of = |adapter: &Adapter| uses.get(adapter).map_or(0.0, AdapterUse::worth_of_copy);
+        let value_of =
+            |adapter: &Adapter| usage.get(adapter).map_or(0.0, AdapterUsage::existing_copy_value);
         let victim = held
-            .map(|(server, adapter)| (worth_of(&adapter), server, adapter))
+            .map(|(server, adapter)| (value_of(&adapter), server, adapter))
             .min_by(|left, right| left.0.total_cmp(&right.0));
-        if let Some((victim_worth, server, victim)) = victim
-            && worth > victim_worth * CLEARLY_MORE
+        if let Some((victim_value, server, victim)) = victim
+            && value > victim_value * MIN_REPLACEMENT_GAIN
         {
             self.order_adapter(server, Action::Unload, victim);
         }
--- a/crates/cometmoor-core/src/gateway/planner/mod.rs
+++ b/crates/cometmoor-core/src/gateway/planner/mod.rs
@@ -1,10 +1,9 @@
-//! Which server should hold which model and adapter.
+//! Placement of models and adapters on servers.
 //!
-//! A plan is a list of next orders, at most one for each server that is idle.
-//! It is made anew from what the servers hold and what is asked for. A move, a
-//! load with the unload that makes room for it, is worth the requests that it
-//! saves while the demand lasts, less those that are missed for want of the
-//! copy that makes way. Every model keeps a copy.
+//! A plan is a list of the next orders, at most one for each idle server. Each plan is computed
+//! from scratch from the contents of the servers and the demand. The value of a move, a load with
+//! the unload that makes room for it, is the number of requests that it saves over the lifetime of
+//! the demand, less the requests missed for lack of the evicted copy. Every model keeps a copy.
 
 mod adapters;
 mod coverage;
@@ -15,170 +14,176 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use self::adapters::bring_adapters;
+use self::adapters::plan_adapters;
 use self::coverage::Coverage;
-use self::inventory::{Adapter, ModelIndex, ServerIndex, Stock, take_stock};
-use self::models::bring_models;
+use self::inventory::{Adapter, ModelIndex, ServerIndex, ServerInventory, build_inventories};
+use self::models::plan_models;
 use super::configuration::{EngineProfile, ModelProfile};
 use super::orders::{Action, ServerOrder, Weights};
 
-/// A server as the planner sees it.
+/// The state of a server as input to the planner.
 #[derive(Clone, Debug, Default)]
 pub struct PlannedServer {
-    /// Its identifier.
+    /// Identifier of the server.
     pub id: Arc<str>,
-    /// Whether it can be ordered now.
+    /// Whether it can take an order.
     pub is_idle: bool,
-    /// What it holds for certain.
+    /// Weights that it is known to hold.
     pub held: BTreeSet<Weights>,
-    /// What it holds or may come to hold.
+    /// Weights that it holds or may hold.
     pub reserved: BTreeSet<Weights>,
-    /// Models whose weights it has in host memory.
+    /// Models whose weights it caches in host memory.
     pub in_host_memory: BTreeSet<String>,
-    /// Models whose weights it has on disk.
+    /// Models whose weights it caches on disk.
     pub on_disk: BTreeSet<String>,
-    /// Models that it got so lately that they should stay.
+    /// Models loaded too recently to be unloaded again, see [`MIN_RESIDENCY`].
     pub recently_loaded: BTreeSet<String>,
-    /// Time until the model that is not held for certain is there.
+    /// Time until the load in progress completes.
     pub load_time_left: Duration,
-    /// Weights that are being taken away; they do not count as a copy.
+    /// Weights that are being unloaded; they do not count as a copy.
     pub unloading: Option<Weights>,
-    /// Model for which room is being made, or was made; it counts as a copy
-    /// while the server is busy.
+    /// Model for which memory is being freed or was freed. It counts as a copy while the server is
+    /// not idle.
     pub pending_load: Option<String>,
 }
 
-/// Time for which demand has to be watched before copies are taken away by it.
+/// How long demand must have been observed before models get additional copies, for which other
+/// copies may be evicted.
 pub const MIN_DEMAND_HISTORY: Duration = Duration::from_secs(3);
-/// Longest pause between two rounds of planning.
+/// Maximum time between two planning rounds.
 pub const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(250);
-/// Time between the withdrawal of a model and the order to unload it, in which
-/// all nodes learn of it.
+/// Time between the withdrawal of a model and the order to unload it, during which all nodes learn
+/// of the withdrawal.
 pub const WITHDRAWAL_DELAY: Duration = Duration::from_millis(300);
-/// Time for which a copy stays after its load.
+/// Minimum time for which a copy is kept after its load.
 pub const MIN_RESIDENCY: Duration = Duration::from_secs(8);
-/// Seconds until an unload is announced and done.
+/// Seconds to announce and complete an unload.
 const UNLOAD_SECONDS: f64 = 1.0;
 
 impl PlannedServer {
-    /// Whether weights that it has, or will have, are not about to go.
+    /// Whether weights that it holds or may hold are not being unloaded.
     fn stays(&self, weights: &Weights) -> bool {
         self.unloading.as_ref() != Some(weights)
     }
 }
 
-/// What is asked of a model.
+/// Demand for a model.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ModelDemand {
-    /// Work, in servers that it would keep busy.
+    /// Offered load: the number of servers that the requests would keep fully busy.
     pub offered_load: f64,
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_second: f64,
 }
 
-/// Work of a request that fills a batch, against that of prompts which keep a
-/// server reading: a batch can be filled to about 0.8 before requests wait, a
-/// server can read for about 0.6 of its time before prompts do.
+/// Weight of batch occupancy relative to prefill time in the offered load: requests queue once a
+/// batch is about 0.8 full, prompts once prefill takes about 0.6 of a server's time.
 const SLOT_WEIGHT: f64 = 0.75;
 
 impl ModelDemand {
-    /// From the servers that the reading of prompts keeps busy, those whose
-    /// batches the running requests fill, and the requests a second. Whichever
-    /// is more binds: with short prompts and long answers, batches are full long
-    /// before the reading of prompts fills a server's time.
-    pub fn new(reading: f64, batches: f64, requests_per_second: f64) -> ModelDemand {
-        ModelDemand { offered_load: reading.max(batches * SLOT_WEIGHT), requests_per_second }
+    /// Creates the demand from the number of servers kept busy by prefill, the number whose batches
+    /// the running requests fill, and the requests per second. The larger of the two determines the
+    /// load: with short prompts and long responses, batches are full long before prefill takes all
+    /// of a server's time.
+    pub fn new(prefill: f64, batches: f64, requests_per_second: f64) -> ModelDemand {
+        ModelDemand { offered_load: prefill.max(batches * SLOT_WEIGHT), requests_per_second }
     }
 }
 
-/// What is asked for.
+/// Demand for all models and adapters.
 #[derive(Clone, Debug, Default)]
 pub struct FleetDemand {
-    /// Whether it was watched for long enough to take copies away by it.
+    /// Whether demand was observed for [`MIN_DEMAND_HISTORY`]. Until then only models without any
+    /// copy are loaded.
     pub has_enough_history: bool,
-    /// What is asked of each model.
+    /// Demand for each model, by name.
     pub models: BTreeMap<String, ModelDemand>,
-    /// Requests a second for each adapter.
+    /// Requests per second for each adapter.
     pub adapters: BTreeMap<Weights, f64>,
-    /// Adapters that requests wait for now.
+    /// Adapters that requests are waiting for.
     pub awaited_adapters: BTreeSet<Weights>,
 }
 
-/// An order for a server.
+/// An order for a server, as part of a plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedOrder {
-    /// The server.
+    /// Identifier of the server.
     pub server: Arc<str>,
-    /// The order.
+    /// The load or unload.
     pub order: ServerOrder,
-    /// Whether the weights come from the weight store.
+    /// Whether the weights are fetched from the weight store.
     pub from_store: bool,
-    /// How long a load is likely to take; zero for an unload.
+    /// Expected duration of the load of a model; zero for other orders.
     pub expected_duration: Duration,
-    /// Model for which an unload makes room.
+    /// Model for which an unload frees memory.
     pub makes_room_for: Option<String>,
 }
 
-/// What a plan is made of.
+/// State of a plan under construction.
 struct Planner<'a> {
     profile: &'a EngineProfile,
     servers: &'a [PlannedServer],
     demand: &'a FleetDemand,
-    stocks: Vec<Stock>,
+    inventories: Vec<ServerInventory>,
     coverage: Coverage,
-    /// Memory on each server that is kept for adapters, in megabytes.
+    /// Memory reserved for adapters on each server, in megabytes.
     adapter_reserve: f64,
+    /// Number of loads from the weight store that may still be planned.
     loads_left: usize,
     plan: Vec<PlannedOrder>,
 }
 
-/// The next orders. `loads_left` bounds those that come from the weight store.
+/// Computes the next orders. `loads_left` bounds the loads from the weight store.
 pub fn plan(
     profile: &EngineProfile,
     servers: &[PlannedServer],
     demand: &FleetDemand,
     loads_left: usize,
 ) -> Vec<PlannedOrder> {
-    let stocks = take_stock(profile, servers);
-    let asked = |model: &ModelProfile| demand.models.get(&model.name).copied().unwrap_or_default();
-    let asked = profile.models.iter().map(asked).collect();
-    let promised = stocks.iter().filter(|stock| is_promised_from_store(stock)).count();
+    let inventories = build_inventories(profile, servers);
+    let demand_of =
+        |model: &ModelProfile| demand.models.get(&model.name).copied().unwrap_or_default();
+    let model_demand = profile.models.iter().map(demand_of).collect();
+    let pending_store_loads =
+        inventories.iter().filter(|inventory| has_pending_store_load(inventory)).count();
     let mut planner = Planner {
         profile,
         servers,
         demand,
-        coverage: Coverage::new(asked, &stocks),
-        stocks,
+        coverage: Coverage::new(model_demand, &inventories),
+        inventories,
         adapter_reserve: profile.adapter_reserve(),
-        loads_left: loads_left.saturating_sub(promised),
+        loads_left: loads_left.saturating_sub(pending_store_loads),
         plan: Vec::new(),
     };
-    bring_models(&mut planner);
-    bring_adapters(&mut planner);
+    plan_models(&mut planner);
+    plan_adapters(&mut planner);
     planner.plan
 }
 
-/// Whether room is being made for a model that the weight store has to give.
-fn is_promised_from_store(stock: &Stock) -> bool {
-    !stock.is_free && stock.promised.is_some_and(|model| stock.loads_from_store(model))
+/// Whether memory is being freed for a model that has to come from the weight store.
+fn has_pending_store_load(inventory: &ServerInventory) -> bool {
+    !inventory.is_idle
+        && inventory.pending_load.is_some_and(|model| inventory.loads_from_store(model))
 }
 
 impl Planner<'_> {
     /// Adds the load of a model.
     fn load_model(&mut self, server: ServerIndex, model: ModelIndex) {
-        let stock = &self.stocks[server];
-        let from_store = stock.loads_from_store(model);
-        let expected_duration = Duration::from_secs_f64(stock.load_seconds(self.profile, model));
+        let inventory = &self.inventories[server];
+        let from_store = inventory.loads_from_store(model);
+        let expected_duration =
+            Duration::from_secs_f64(inventory.load_seconds(self.profile, model));
         self.loads_left -= usize::from(from_store);
-        let order = self.planned(server, Action::Load, self.model_weights(model));
+        let order = self.planned_order(server, Action::Load, self.model_weights(model));
         self.push(server, PlannedOrder { from_store, expected_duration, ..order });
     }
 
-    /// Adds the unload of a model that makes room for another one.
+    /// Adds the unload of a model to free memory for another one.
     fn unload_model(&mut self, server: ServerIndex, victim: ModelIndex, model: ModelIndex) {
-        self.loads_left -= usize::from(self.stocks[server].loads_from_store(model));
+        self.loads_left -= usize::from(self.inventories[server].loads_from_store(model));
         let makes_room_for = Some(self.profile.models[model].name.clone());
-        let order = self.planned(server, Action::Unload, self.model_weights(victim));
+        let order = self.planned_order(server, Action::Unload, self.model_weights(victim));
         self.push(server, PlannedOrder { makes_room_for, ..order });
     }
 
@@ -186,7 +191,7 @@
     fn order_adapter(&mut self, server: ServerIndex, action: Action, adapter: Adapter) {
         let model = &self.profile.models[adapter.model];
         let weights = Weights::adapter(&model.name, &model.adapter_name(adapter.number));
-        let order = self.planned(server, action, weights);
+        let order = self.planned_order(server, action, weights);
         self.push(server, order);
     }
 
@@ -194,7 +199,7 @@
         Weights::model(&self.profile.models[model].name)
     }
 
-    fn planned(&self, server: ServerIndex, action: Action, weights: Weights) -> PlannedOrder {
+    fn planned_order(&self, server: ServerIndex, action: Action, weights: Weights) -> PlannedOrder {
         PlannedOrder {
             server: self.servers[server].id.clone(),
             order: ServerOrder { action, weights },
@@ -204,9 +209,9 @@
         }
     }
 
-    /// A server gets one order at a time.
+    /// Adds an order and marks the server as busy: a server gets one order at a time.
     fn push(&mut self, server: ServerIndex, order: PlannedOrder) {
-        self.stocks[server].is_free = false;
+        self.inventories[server].is_idle = false;
         self.plan.push(order);
     }
 }
--- a/crates/cometmoor-core/tests/gateway_planner.rs
+++ b/crates/cometmoor-core/tests/gateway_planner.rs
@@ -1,4 +1,4 @@
-//! Plans keep every model reachable and never order more than a server holds.
+//! Plans keep every model reachable and never exceed the memory of a server.
 
 mod schedules;
 
@@ -56,7 +56,7 @@
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Step {
-    /// A round of planning; all orders are carried out, or some stay open.
+    /// A planning round. One in four orders is left open.
     Round {
         left_open: u8,
     },
@@ -96,7 +96,7 @@
             Step::Round { left_open } => self.round(left_open),
             Step::Demand { model, tenths } => {
                 let name = format!("m{}", usize::from(model) % MODELS);
-                self.ask(&name, f64::from(tenths % 30) / 10.0);
+                self.set_demand(&name, f64::from(tenths % 30) / 10.0);
             }
             Step::Crash { server: index } => {
                 let index = usize::from(index) % SERVERS;
@@ -105,11 +105,11 @@
         }
     }
 
-    /// Asks for a model: work in servers, at ten requests a second and server.
-    fn ask(&mut self, model: &str, work: f64) {
+    /// Sets the demand for a model: the offered load in servers, at ten requests per second each.
+    fn set_demand(&mut self, model: &str, offered_load: f64) {
         self.demand.models.insert(
             model.to_owned(),
-            ModelDemand { offered_load: work, requests_per_second: 10.0 * work },
+            ModelDemand { offered_load, requests_per_second: 10.0 * offered_load },
         );
     }
 
@@ -121,7 +121,7 @@
             match planned.order.action {
                 Action::Load => server.reserved.insert(planned.order.weights.clone()),
                 Action::Unload => {
-                    self.copies_without(planned.server.as_ref(), &planned.order.weights)
+                    self.check_not_last_copy(planned.server.as_ref(), &planned.order.weights)
                 }
             };
             let server = self.servers.iter_mut().find(|s| s.id == planned.server).unwrap();
@@ -131,11 +131,11 @@
             }
             if planned.order.action == Action::Unload {
                 let weights = &planned.order.weights;
-                let goes = |held: &Weights| match weights.adapter {
+                let is_unloaded = |held: &Weights| match weights.adapter {
                     Some(_) => held == weights,
                     None => held.model == weights.model,
                 };
-                server.reserved.retain(|held| !goes(held));
+                server.reserved.retain(|held| !is_unloaded(held));
             }
             server.held = server.reserved.clone();
         }
@@ -145,14 +145,14 @@
         }
     }
 
-    /// Checks that an unload leaves a copy.
-    fn copies_without(&self, server: &str, weights: &Weights) -> bool {
+    /// Checks that a model unloaded from a server has another copy.
+    fn check_not_last_copy(&self, server: &str, weights: &Weights) -> bool {
         if weights.adapter.is_none() {
             let others = self
                 .servers
                 .iter()
                 .filter(|other| &*other.id != server && other.held.contains(weights));
-            assert!(others.count() > 0, "the last copy of {weights:?} would go");
+            assert!(others.count() > 0, "the last copy of {weights:?} would be unloaded");
         }
         true
     }
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn no_plan_overcommits_a_server_or_takes_a_last_copy() {
+fn no_plan_overcommits_a_server_or_unloads_a_last_copy() {
     for_each_schedule::<Step>(CASES, |steps| {
         let mut world = World::new();
         for step in steps {
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn models_and_adapters_that_nobody_holds_come_back_after_crashes() {
+fn models_and_adapters_without_a_copy_are_reloaded_after_crashes() {
     let mut world = World::new();
     for server in 0..2 {
         world.run(Step::Crash { server });
@@ -199,10 +199,10 @@
 }
 
 #[test]
-fn a_model_that_is_asked_for_gets_copies_in_the_place_of_spare_ones() {
+fn a_model_in_demand_gets_copies_in_place_of_spare_ones() {
     let mut world = World::new();
     world.servers[3] = server(3, &[0, 1, 2]);
-    world.ask("m5", 0.9);
+    world.set_demand("m5", 0.9);
     for _ in 0..10 {
         world.round(3);
     }
@@ -211,37 +211,37 @@
     assert!(copies >= 2, "{copies} copies");
 }
 
-/// tnpto-ride quiet-1: of two copies one was being taken away, and the next
-/// round took the other; 191 requests found no server with their model.
+/// While one of two copies was being unloaded, the next round unloaded the other one: 191 requests
+/// found no server with their model (tnpto-ride, quiet-1).
 #[test]
-fn a_copy_that_leaves_or_is_on_its_way_does_not_make_another_one_spare() {
+fn a_copy_being_unloaded_or_loaded_does_not_make_another_one_spare() {
     let mut world = World::new();
-    world.ask("m5", 2.0);
+    world.set_demand("m5", 2.0);
     world.profile.models[0].adapters = 0;
-    for (leaving, loading) in [(true, false), (false, true)] {
+    for (unloading, loading) in [(true, false), (false, true)] {
         let mut servers = vec![server(0, &[0, 1, 2]), server(1, &[0, 3, 4]), server(2, &[5])];
         let weights = Weights::model("m0");
         servers[1].is_idle = false;
-        if leaving {
+        if unloading {
             servers[1].unloading = Some(weights.clone());
         }
         if loading {
             servers[1].held.remove(&weights);
         }
         let orders = plan(&world.profile, &servers, &world.demand, 5);
-        let taken = orders.iter().any(|planned| {
+        let is_unloaded = orders.iter().any(|planned| {
             planned.order.action == Action::Unload && planned.order.weights == weights
         });
-        assert!(!taken, "leaving {leaving}, loading {loading}: {orders:?}");
+        assert!(!is_unloaded, "unloading {unloading}, loading {loading}: {orders:?}");
     }
 }
 
-/// Short prompts and long answers: the batch is full long before the reading of
-/// prompts fills a server's time.
+/// With short prompts and long responses, batches are full long before prefill takes all of a
+/// server's time.
 #[test]
-fn full_batches_count_as_work_as_well_as_prompts() {
-    let long_answers = ModelDemand::new(0.4, 1.6, 30.0);
-    assert!(long_answers.offered_load > 1.0);
+fn full_batches_count_as_load_as_well_as_prefill() {
+    let long_responses = ModelDemand::new(0.4, 1.6, 30.0);
+    assert!(long_responses.offered_load > 1.0);
     let long_prompts = ModelDemand::new(0.9, 0.3, 7.0);
     assert_eq!(long_prompts, ModelDemand { offered_load: 0.9, requests_per_second: 7.0 });
 }
