--- a/crates/cometmoor-core/src/gateway/leadership.rs
+++ b/crates/cometmoor-core/src/gateway/leadership.rs
@@ -20,13 +20,13 @@
 
 /// Times that leadership is reckoned with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LeadershipTimes {
+pub struct LeadershipTiming {
     /// Life of the lease.
     pub lease: Duration,
     /// Time that must lie between the orders of two nodes.
-    pub quiet: Duration,
+    pub handover_delay: Duration,
     /// Time that an order may be on its way before it is given up.
-    pub order: Duration,
+    pub order_timeout: Duration,
 }
 
 /// Part of the lease that is never used, for clocks that drift.
@@ -58,7 +58,7 @@
 
 /// What a node that campaigns knows beside what the store tells.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct OwnKnowledge {
+pub struct CandidateContext {
     /// Whether no node can have led before the store's era: the fleet started in it.
     pub fleet_began_in_era: bool,
     /// Whether the node's own term still runs by its clock, though the store has lost it.
@@ -68,7 +68,7 @@
 /// What the store tells of leadership in its era: who holds the key that lives as long as
 /// its lease, and who held it last, which is kept. Both are written in one commit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Standing<'a> {
+pub struct LeadershipState<'a> {
     /// Node whose lease has not run out.
     pub holder: Option<&'a str>,
     /// Node that led last.
@@ -82,8 +82,8 @@
 /// held it has lost it or has ended.
 pub fn candidacy(
     own: &str,
-    standing: &Standing<'_>,
-    knowledge: OwnKnowledge,
+    standing: &LeadershipState<'_>,
+    knowledge: CandidateContext,
 ) -> Option<Predecessor> {
     let follows_itself = match standing.last_has_waited {
         true => Predecessor::SameNode,
@@ -111,7 +111,7 @@
 /// Whether this node may order servers.
 #[derive(Clone, Copy, Debug)]
 pub struct Leadership {
-    times: LeadershipTimes,
+    times: LeadershipTiming,
     term: Option<Term>,
     lost: Option<LostTerm>,
 }
@@ -125,7 +125,7 @@
 
 impl Leadership {
     /// A node that does not lead.
-    pub fn new(times: LeadershipTimes) -> Leadership {
+    pub fn new(times: LeadershipTiming) -> Leadership {
         Leadership { times, term: None, lost: None }
     }
 
@@ -144,7 +144,8 @@
         acquired: Timestamp,
         predecessor: Predecessor,
     ) {
-        let wait = if predecessor.may_still_order() { self.times.quiet } else { Duration::ZERO };
+        let wait =
+            if predecessor.may_still_order() { self.times.handover_delay } else { Duration::ZERO };
         self.lost = None;
         self.term = Some(Term {
             token,
@@ -191,9 +192,9 @@
 
     /// The fencing token for an order that is sent now, if one may be sent: it
     /// will have arrived or been given up while the lease still runs.
-    pub fn token(&self, now: Timestamp) -> Option<u64> {
+    pub fn fencing_token(&self, now: Timestamp) -> Option<u64> {
         let term = self.term?;
-        let arrives = now + self.times.order;
+        let arrives = now + self.times.order_timeout;
         (now >= term.first_order && arrives < term.valid_until).then_some(term.token)
     }
 }
--- a/crates/cometmoor-core/src/gateway/proof.rs
+++ b/crates/cometmoor-core/src/gateway/proof.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::restored_registry::REWRITTEN_WITHIN;
+use super::restored_registry::REWRITE_WINDOW;
 use super::store_position::StoreEra;
 use crate::keys::KeyKnowledge;
 use crate::time::BootInstant;
@@ -58,7 +58,7 @@
     }
 
     /// Whether what a copy lacks is known not to exist.
-    pub fn tells_absence(&self, age: Option<Duration>) -> bool {
+    pub fn proves_absence(&self, age: Option<Duration>) -> bool {
         age.is_some_and(|age| age < self.apply)
     }
 
@@ -68,18 +68,18 @@
             Some(bound) => age.is_some_and(|age| age < bound.mul_f64(ADMITS_FOR)),
             None => true,
         };
-        KeyKnowledge { admits, denies: self.tells_absence(age) }
+        KeyKnowledge { admits, denies: self.proves_absence(age) }
     }
 
     /// Time left until the store is to be asked, whatever others tell; none where no key
     /// depends on it.
-    pub fn patience_left(&self, age: Option<Duration>) -> Option<Duration> {
+    pub fn time_until_refresh(&self, age: Option<Duration>) -> Option<Duration> {
         let patience = self.revoke?.mul_f64(URGENT_FROM);
         Some(patience.saturating_sub(age.unwrap_or(patience)))
     }
 
     /// Whether another node is to be asked for a proof.
-    pub fn is_wanted(&self, age: Option<Duration>) -> bool {
+    pub fn needs_peer_proof(&self, age: Option<Duration>) -> bool {
         let from = match self.revoke {
             Some(bound) => bound.mul_f64(ASK_FROM),
             None => self.apply.mul_f64(ASK_WITHOUT_KEYS_FROM),
@@ -90,26 +90,26 @@
 
 /// The last restore of the store that a node has heard of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeardRestore {
+pub struct KnownRestore {
     /// The era that it began.
     pub era: StoreEra,
     /// When this node heard of it.
-    pub heard: BootInstant,
+    pub heard_at: BootInstant,
 }
 
-impl HeardRestore {
+impl KnownRestore {
     /// Whether the store proves by an answer in an era that it held nothing newer than the
     /// configuration at a point. What it told in earlier eras was true then. In this one it
     /// may have lost the newest configuration, until that is known to have been written again
     /// or must have been.
-    pub fn lets_prove(&self, era: StoreEra, at: BootInstant, is_rewritten: bool) -> bool {
-        era < self.era || is_rewritten || at >= self.heard + REWRITTEN_WITHIN
+    pub fn allows_proof(&self, era: StoreEra, at: BootInstant, is_rewritten: bool) -> bool {
+        era < self.era || is_rewritten || at >= self.heard_at + REWRITE_WINDOW
     }
 }
 
 /// What a node answers that is asked for a proof.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ProofOfPeer {
+pub struct PeerProof {
     /// Version of the configuration in force there.
     pub version: u64,
     /// Time since the store is known to have held nothing newer; none where that is not
@@ -136,7 +136,7 @@
 
     /// Number of the next request and which of so many nodes gets it, if one is due: one
     /// that does not answer is passed over. Notes that it is sent now.
-    pub fn next(&mut self, sources: usize, now: BootInstant) -> Option<(u64, usize)> {
+    pub fn next_request(&mut self, sources: usize, now: BootInstant) -> Option<(u64, usize)> {
         let last = self.open.values().next_back();
         if sources == 0 || last.is_some_and(|sent| now.since(*sent) < ASK_EACH) {
             return None;
@@ -155,10 +155,10 @@
     /// Takes an answer; tells the point at which the store is known to have held nothing
     /// newer than a copy of this version, if the answer shows one. It counts from the
     /// request, however long the answer has been on its way.
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
         number: u64,
-        answer: ProofOfPeer,
+        answer: PeerProof,
         own_version: u64,
     ) -> Option<BootInstant> {
         let sent = self.open.get(&number).copied()?;
--- a/crates/cometmoor-core/src/gateway/quarantine.rs
+++ b/crates/cometmoor-core/src/gateway/quarantine.rs
@@ -78,16 +78,16 @@
 
 /// Whether content may be sent to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// Nothing speaks against it, or not enough.
-    Free,
+    Allowed,
     /// No server gets it for so long.
     Quarantined(Duration),
 }
 
 /// What a crash means for content that was there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CrashVerdict {
     /// A server has answered it lately; it is not blamed.
     Cleared,
     /// It was present at the crashes of so many servers.
@@ -160,10 +160,10 @@
         }
     }
 
-    fn verdict(&self, now: Timestamp) -> Verdict {
+    fn verdict(&self, now: Timestamp) -> CrashVerdict {
         match self.is_quarantined(now) {
-            true => Verdict::Quarantined,
-            false => Verdict::Suspect(self.crashes.len()),
+            true => CrashVerdict::Quarantined,
+            false => CrashVerdict::Suspect(self.crashes.len()),
         }
     }
 
@@ -202,21 +202,21 @@
 
 impl Quarantine {
     /// Whether content may be sent.
-    pub fn standing(&self, content: Fingerprint, now: Timestamp) -> Standing {
+    pub fn status(&self, content: Fingerprint, now: Timestamp) -> QuarantineStatus {
         let since = self.records.get(&content).and_then(|record| record.quarantined);
         match since.map(|since| QUARANTINE_LIFETIME.saturating_sub(now.since(since))) {
-            Some(left) if !left.is_zero() => Standing::Quarantined(left),
-            _ => Standing::Free,
+            Some(left) if !left.is_zero() => QuarantineStatus::Quarantined(left),
+            _ => QuarantineStatus::Allowed,
         }
     }
 
     /// Notes that a server broke a connection under content; whether it crashed is not known.
-    pub fn begin_check(&mut self, content: Fingerprint) {
+    pub fn begin_crash_check(&mut self, content: Fingerprint) {
         *self.unchecked.entry(content).or_default() += 1;
     }
 
     /// Notes that it is known whether one of those servers crashed.
-    pub fn end_check(&mut self, content: Fingerprint) {
+    pub fn end_crash_check(&mut self, content: Fingerprint) {
         if let Some(open) = self.unchecked.get_mut(&content) {
             *open -= 1;
             if *open == 0 {
@@ -227,7 +227,7 @@
 
     /// Whether content may have crashed enough servers to be quarantined, and it will be known
     /// in a moment.
-    pub fn is_undecided(&self, content: Fingerprint) -> bool {
+    pub fn is_decision_pending(&self, content: Fingerprint) -> bool {
         let Some(open) = self.unchecked.get(&content) else { return false };
         let crashed = self.records.get(&content).map_or(0, |record| record.crashes.len());
         crashed + open >= CRASH_LIMIT
@@ -239,13 +239,13 @@
         content: Fingerprint,
         server: IncarnationKey,
         now: Timestamp,
-    ) -> Verdict {
+    ) -> CrashVerdict {
         let was_answered = self.was_answered(content, now);
         let record = self.record(content, now);
         if was_answered {
             record.clear(now);
             record.report_soon();
-            return Verdict::Cleared;
+            return CrashVerdict::Cleared;
         }
         if record.quarantined.is_some() {
             record.quarantined = Some(now);
@@ -360,7 +360,7 @@
     }
 
     /// Notes that the store may have lost what it held.
-    pub fn forget_stored(&mut self) {
+    pub fn clear_stored(&mut self) {
         self.records.values_mut().for_each(|record| record.is_stored = false);
     }
 
--- a/crates/cometmoor-core/src/gateway/registry.rs
+++ b/crates/cometmoor-core/src/gateway/registry.rs
@@ -15,7 +15,7 @@
 
 /// A model that a server holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeldModel {
+pub struct LoadedModel {
     /// Name of the model.
     pub name: String,
     /// Names of its adapters that the server holds.
@@ -25,9 +25,9 @@
 /// Name of one incarnation of a server: its identifier, and when the process began,
 /// if the server tells that. A server may start again under the identifier it had; it
 /// then holds nothing, and no order, count or connection of before is its own.
-pub fn incarnation_name(id: &str, born: Option<u64>) -> Arc<str> {
-    match born {
-        Some(born) => format!("{id}@{born}").into(),
+pub fn incarnation_name(id: &str, started_unix_ms: Option<u64>) -> Arc<str> {
+    match started_unix_ms {
+        Some(started_unix_ms) => format!("{id}@{started_unix_ms}").into(),
         None => id.into(),
     }
 }
@@ -39,7 +39,7 @@
     /// same, but a server may start again under the one it had.
     pub id: Arc<str>,
     /// When the process began, in Unix milliseconds; none where it does not tell.
-    pub born: Option<u64>,
+    pub started_unix_ms: Option<u64>,
     /// Name of the incarnation ([`incarnation_name`]): what is known of a server is
     /// kept under this name.
     pub incarnation: Arc<str>,
@@ -56,7 +56,7 @@
     /// Whether it takes new work.
     pub state: ServerState,
     /// Models in its accelerators' memory.
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
     /// Models whose weights it keeps in host memory.
     pub in_host_memory: Vec<String>,
     /// Models whose weights it keeps on disk.
@@ -73,7 +73,7 @@
     /// Revision of its last change, in the store's era.
     pub revision: u64,
     /// Revision at which it was created, in the store's era.
-    pub created: u64,
+    pub create_revision: u64,
     /// What it tells.
     pub record: Arc<ServerRecord>,
 }
@@ -82,14 +82,16 @@
     /// Whether this entry tells of a later process than another one, which was made
     /// before it where either does not tell when its process began.
     pub fn is_later_than(&self, other: &ServerRecord, was_made_later: bool) -> bool {
-        match (self.born, other.born) {
-            (Some(born), Some(other)) if born != other => born > other,
+        match (self.started_unix_ms, other.started_unix_ms) {
+            (Some(started_unix_ms), Some(other)) if started_unix_ms != other => {
+                started_unix_ms > other
+            }
             _ => was_made_later,
         }
     }
 
     /// The model, if the server holds it.
-    pub fn held(&self, model: &str) -> Option<&HeldModel> {
+    pub fn loaded_model(&self, model: &str) -> Option<&LoadedModel> {
         self.models.iter().find(|held| held.name == model)
     }
 }
--- a/crates/cometmoor-core/src/gateway/restored_registry.rs
+++ b/crates/cometmoor-core/src/gateway/restored_registry.rs
@@ -16,7 +16,7 @@
 /// Time within which operators, and live servers that reach the store, have written again
 /// what a restored store has lost: two seconds, as the platform promises, and a quarter of
 /// that.
-pub const REWRITTEN_WITHIN: Duration = Duration::from_millis(2500);
+pub const REWRITE_WINDOW: Duration = Duration::from_millis(2500);
 /// Heartbeats of silence after which the store drops a server's entry, and one more.
 const HEARTBEATS_OF_ENDED_SERVER: u32 = 4;
 /// Time for which a server that has gone is remembered: more than a copy is old.
@@ -25,7 +25,7 @@
 const MOST_GONE: usize = 4096;
 
 /// Servers by incarnation.
-pub type Servers = HashMap<Arc<str>, ServerEntry>;
+pub type ServersByIncarnation = HashMap<Arc<str>, ServerEntry>;
 
 /// What was known before the restore.
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
     /// Revision of the first copy of the new era that this node took.
     first_revision: u64,
     /// Servers that there were.
-    before: Servers,
+    before: ServersByIncarnation,
 }
 
 /// Remembers which servers there were, for the case that the store is restored.
@@ -48,9 +48,9 @@
 
 /// Which servers there are, by the store and by what was known before it was restored.
 #[derive(Clone, Debug, Default)]
-pub struct Believed {
+pub struct EffectiveServers {
     /// The servers.
-    pub servers: Servers,
+    pub servers: ServersByIncarnation,
     /// Servers that are leaving, though the restored store says that they are ready.
     pub still_leaving: Vec<Arc<str>>,
     /// Number of servers that the store has lost.
@@ -70,36 +70,45 @@
     }
 
     /// Notes that the store was restored; the first copy of its new era is of a revision.
-    pub fn note_restore(&mut self, before: Servers, first_revision: u64, now: BootInstant) {
+    pub fn note_restore(
+        &mut self,
+        before: ServersByIncarnation,
+        first_revision: u64,
+        now: BootInstant,
+    ) {
         self.restore = Some(Restore { at: now, first_revision, before });
     }
 
     /// Notes that servers are not there any more.
-    pub fn note_gone<'a>(&mut self, servers: impl Iterator<Item = &'a Arc<str>>, now: BootInstant) {
+    pub fn note_removed<'a>(
+        &mut self,
+        servers: impl Iterator<Item = &'a Arc<str>>,
+        now: BootInstant,
+    ) {
         self.gone.retain(|_, since| now.since(*since) < GONE_REMEMBERED_FOR);
         let room = MOST_GONE.saturating_sub(self.gone.len());
         self.gone.extend(servers.take(room).map(|server| (server.clone(), now)));
     }
 
     /// Whether what is believed changes with time.
-    pub fn awaits_rewriting(&self) -> bool {
+    pub fn awaits_rewrites(&self) -> bool {
         self.restore.is_some()
     }
 
     /// Which servers there are, by the entries in the store. `ended` are the identifiers whose
     /// entries have gone since it was restored.
-    pub fn believe(
+    pub fn effective_servers(
         &mut self,
-        entries: Servers,
+        entries: ServersByIncarnation,
         ended: &HashSet<&str>,
         now: BootInstant,
-    ) -> Believed {
-        let longest = self.ended_entry_lasts.max(REWRITTEN_WITHIN);
+    ) -> EffectiveServers {
+        let longest = self.ended_entry_lasts.max(REWRITE_WINDOW);
         self.restore.take_if(|restore| now.since(restore.at) >= longest);
         let Some(restore) = &self.restore else {
-            return Believed { servers: entries, ..Believed::default() };
+            return EffectiveServers { servers: entries, ..EffectiveServers::default() };
         };
-        let mut believed = Believed::default();
+        let mut believed = EffectiveServers::default();
         for (incarnation, entry) in entries {
             if self.is_of_ended_server(restore, &incarnation, &entry, now) {
                 believed.passed_over += 1;
@@ -134,11 +143,11 @@
     /// returns their number.
     fn add_unwritten(
         &self,
-        servers: &mut Servers,
+        servers: &mut ServersByIncarnation,
         ended: &HashSet<&str>,
         now: BootInstant,
     ) -> usize {
-        if now.since(self.at) >= REWRITTEN_WITHIN {
+        if now.since(self.at) >= REWRITE_WINDOW {
             return 0;
         }
         let lost: Vec<_> = self
@@ -158,7 +167,7 @@
     }
 
     /// Whether another server has a lost one's identifier or address now.
-    fn is_replaced(&self, lost: &ServerEntry, servers: &Servers) -> bool {
+    fn is_replaced(&self, lost: &ServerEntry, servers: &ServersByIncarnation) -> bool {
         servers.values().any(|entry| {
             let record = &entry.record;
             let is_written_since = entry.revision > self.first_revision;
--- a/crates/cometmoor-core/src/gateway/staleness.rs
+++ b/crates/cometmoor-core/src/gateway/staleness.rs
@@ -66,17 +66,17 @@
     /// Whether this node is among those that read it from the store.
     pub is_reader: bool,
     /// Number of nodes ahead of this one by rank whom the store answers.
-    pub place: usize,
+    pub preceding_nodes: usize,
     /// Whether all nodes hear one another.
     pub is_small_fleet: bool,
     /// Time since the store last confirmed the copy to anybody, as far as this
     /// node knows; none where that is not known.
     pub age: Option<Duration>,
     /// The same by what other nodes told alone.
-    pub told_age: Option<Duration>,
+    pub peer_reported_age: Option<Duration>,
     /// Time left until the copy's proof is so old that the store is to be asked; none
     /// where nothing depends on it.
-    pub proof_patience_left: Option<Duration>,
+    pub time_until_proof_refresh: Option<Duration>,
 }
 
 /// What a node does next about a copy.
@@ -89,7 +89,7 @@
     /// Read everything from the store.
     Read,
     /// Leave the store alone for so long: others read it.
-    Rest(Duration),
+    Wait(Duration),
 }
 
 /// The limits that follow from the time within which nodes have to know what the
@@ -107,67 +107,67 @@
     }
 
     /// Time for which the watch of the node on duty waits for a change.
-    pub fn duty_wait(&self) -> Duration {
+    pub fn primary_watch_wait(&self) -> Duration {
         self.bound.mul_f64(DUTY_WAIT)
     }
 
     /// Time beyond its wait for which a watch may be without an answer.
-    pub fn watch_slack(&self) -> Duration {
+    pub fn watch_grace(&self) -> Duration {
         self.bound.mul_f64(WATCH_SLACK)
     }
 
     /// Time for a call that the store answers at once, after so many tries that it
     /// did not answer: it may be slow.
-    pub fn poll_time(&self, failures: u32) -> Duration {
-        doubled(self.bound.mul_f64(FIRST_POLL), failures, LONGEST_POLL)
+    pub fn poll_timeout(&self, failures: u32) -> Duration {
+        exponential_backoff(self.bound.mul_f64(FIRST_POLL), failures, LONGEST_POLL)
     }
 
     /// Pause before the store is asked again after it has not answered, for the
     /// first time or after other failures.
-    pub fn retry_pause(&self, failures: u32, view: &CopyView) -> Duration {
-        let longest = match self.patience_left(view).is_zero() {
+    pub fn retry_delay(&self, failures: u32, view: &CopyView) -> Duration {
+        let longest = match self.time_until_refresh(view).is_zero() {
             true => self.bound.mul_f64(LONGEST_URGENT_PAUSE),
             false => LONGEST_PAUSE,
         };
-        doubled(FIRST_PAUSE, failures, longest)
+        exponential_backoff(FIRST_PAUSE, failures, longest)
     }
 
-    /// Age of a copy from which on a node asks the store itself. `place` is the
+    /// Age of a copy from which on a node asks the store itself. `preceding_nodes` is the
     /// number of nodes ahead of it by rank whom the store answers.
-    pub fn patience(&self, place: usize, is_small_fleet: bool) -> Duration {
+    pub fn refresh_age(&self, preceding_nodes: usize, is_small_fleet: bool) -> Duration {
         let first = if is_small_fleet { SMALL_FLEET_PATIENCE } else { LARGE_FLEET_PATIENCE };
         let apart = if is_small_fleet { PLACES_APART } else { SOON_IN_LARGE_FLEET };
-        let parts = first + PATIENCE_FOR_PLACE * place.min(apart) as f64;
+        let parts = first + PATIENCE_FOR_PLACE * preceding_nodes.min(apart) as f64;
         let soon = self.bound.mul_f64(parts);
         if is_small_fleet {
             return soon;
         }
-        let late = u32::try_from(place.saturating_sub(apart)).unwrap_or(u32::MAX);
+        let late = u32::try_from(preceding_nodes.saturating_sub(apart)).unwrap_or(u32::MAX);
         soon.saturating_add(PATIENCE_FOR_LATE_PLACE.saturating_mul(late))
     }
 
     /// What a node does next about a copy. It depends on nothing but what the
     /// node knows, so that it holds whoever else is silent.
     pub fn next_call(&self, view: &CopyView) -> NextCall {
-        let left = self.patience_left(view);
+        let left = self.time_until_refresh(view);
         if view.exists && !view.is_reader {
             return match left.is_zero() {
                 true if view.is_superseded => NextCall::Read,
                 true => NextCall::Poll,
-                false => NextCall::Rest(left.min(LONGEST_REST)),
+                false => NextCall::Wait(left.min(LONGEST_REST)),
             };
         }
         if view.is_superseded {
             return NextCall::Read;
         }
-        let patience = self.patience(view.place, view.is_small_fleet);
-        let others_are_silent = view.told_age.is_none_or(|age| age >= patience);
-        match view.place == 0 || others_are_silent {
+        let patience = self.refresh_age(view.preceding_nodes, view.is_small_fleet);
+        let others_are_silent = view.peer_reported_age.is_none_or(|age| age >= patience);
+        match view.preceding_nodes == 0 || others_are_silent {
             // The pause after changes is a part of the wait.
             true => {
                 let age = view.age.unwrap_or_default();
-                let wait = self.duty_wait().saturating_sub(age);
-                let for_proof = view.proof_patience_left.map(|left| left / PROOF_WAIT_PART);
+                let wait = self.primary_watch_wait().saturating_sub(age);
+                let for_proof = view.time_until_proof_refresh.map(|left| left / PROOF_WAIT_PART);
                 NextCall::Watch(for_proof.map_or(wait, |longest| wait.min(longest)))
             }
             false => NextCall::Watch(LONG_WAIT),
@@ -176,14 +176,14 @@
 
     /// Time for which an open watch may go on saying nothing: until the copy is
     /// older than the node lets it become.
-    pub fn patience_left(&self, view: &CopyView) -> Duration {
-        let patience = self.patience(view.place, view.is_small_fleet);
+    pub fn time_until_refresh(&self, view: &CopyView) -> Duration {
+        let patience = self.refresh_age(view.preceding_nodes, view.is_small_fleet);
         let left = patience.saturating_sub(view.age.unwrap_or(patience));
-        view.proof_patience_left.map_or(left, |for_proof| left.min(for_proof))
+        view.time_until_proof_refresh.map_or(left, |for_proof| left.min(for_proof))
     }
 }
 
 /// A time that doubles with each failure, up to the longest.
-pub fn doubled(first: Duration, failures: u32, longest: Duration) -> Duration {
+pub fn exponential_backoff(first: Duration, failures: u32, longest: Duration) -> Duration {
     first.saturating_mul(2_u32.saturating_pow(failures)).min(longest)
 }
--- a/crates/cometmoor-core/src/gateway/store_position.rs
+++ b/crates/cometmoor-core/src/gateway/store_position.rs
@@ -70,7 +70,7 @@
     /// It is the newest.
     Newest(StoreEra),
     /// It is newer than all others.
-    Begun {
+    New {
         /// The new era.
         era: StoreEra,
         /// The newest one until now; none where none was known.
@@ -108,7 +108,7 @@
     /// Places what was read of everything, of a point by the answers' numbers, when `known`
     /// was the point of the copy before the question. The store's answers are as new as all
     /// before them: one that is older shows a loss without a new number.
-    pub fn place_read(&mut self, read: StorePosition, known: StorePosition) -> AnswerEra {
+    pub fn classify_read(&mut self, read: StorePosition, known: StorePosition) -> AnswerEra {
         if read.era != known.era || read.revision >= known.revision {
             return AnswerEra::Newest(read.era);
         }
@@ -125,7 +125,7 @@
             Some(newest) if era < newest => AnswerEra::Past(era),
             before => {
                 self.newest = Some(era);
-                AnswerEra::Begun { era, before }
+                AnswerEra::New { era, before }
             }
         }
     }
@@ -150,14 +150,14 @@
 
 /// A text names no point in the store's history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoPosition;
+pub struct ParseStorePositionError;
 
 impl std::str::FromStr for StorePosition {
-    type Err = NoPosition;
+    type Err = ParseStorePositionError;
 
-    fn from_str(text: &str) -> Result<StorePosition, NoPosition> {
-        let (era, revision) = text.rsplit_once('.').ok_or(NoPosition)?;
-        let era = era.parse().map_err(|_| NoPosition)?;
-        Ok(StorePosition { era, revision: revision.parse().map_err(|_| NoPosition)? })
+    fn from_str(text: &str) -> Result<StorePosition, ParseStorePositionError> {
+        let (era, revision) = text.rsplit_once('.').ok_or(ParseStorePositionError)?;
+        let era = era.parse().map_err(|_| ParseStorePositionError)?;
+        Ok(StorePosition { era, revision: revision.parse().map_err(|_| ParseStorePositionError)? })
     }
 }
--- a/crates/cometmoor-core/tests/gateway_leadership.rs
+++ b/crates/cometmoor-core/tests/gateway_leadership.rs
@@ -7,7 +7,7 @@
 
 use bolero::TypeGenerator;
 use cometmoor_core::gateway::leadership::{
-    Leadership, LeadershipTimes, OwnKnowledge, Predecessor, Standing, candidacy,
+    CandidateContext, Leadership, LeadershipState, LeadershipTiming, Predecessor, candidacy,
 };
 use cometmoor_core::gateway::store_position::StoreEra;
 use cometmoor_core::time::Timestamp;
@@ -16,10 +16,10 @@
 
 const CASES: u64 = 100_000;
 const NODES: usize = 3;
-const TIMES: LeadershipTimes = LeadershipTimes {
+const TIMES: LeadershipTiming = LeadershipTiming {
     lease: Duration::from_millis(3000),
-    quiet: Duration::from_millis(3400),
-    order: Duration::from_millis(800),
+    handover_delay: Duration::from_millis(3400),
+    order_timeout: Duration::from_millis(800),
 };
 
 /// Milliseconds for which a system that starts for the first time is known to be fresh.
@@ -118,7 +118,7 @@
 
 /// A call is on its way for up to half of an order's time.
 fn way(on_the_way: u8) -> u64 {
-    u64::from(on_the_way) * TIMES.order.as_millis() as u64 / 512
+    u64::from(on_the_way) * TIMES.order_timeout.as_millis() as u64 / 512
 }
 
 impl World {
@@ -138,7 +138,7 @@
 
     fn campaign(&mut self, index: usize, on_the_way: u64) {
         self.now += on_the_way;
-        let standing = Standing {
+        let standing = LeadershipState {
             holder: self.holder().map(|holder| NAMES[holder]),
             last: self.store.last.map(|(last, ..)| NAMES[last]),
             last_has_waited: self.store.last.is_some_and(|(.., has_waited)| has_waited),
@@ -146,7 +146,7 @@
         let (era, revisions) = (self.store.era(), self.store.revisions(self.now));
         let node = &mut self.nodes[index];
         let first_era = *node.first_era.get_or_insert(era);
-        let knowledge = OwnKnowledge {
+        let knowledge = CandidateContext {
             fleet_began_in_era: node.is_first_process && first_era == era && self.now < FRESH_FOR,
             own_term_runs: node.leadership.lost_term_runs(era, Timestamp(self.now)),
         };
@@ -216,7 +216,8 @@
             }
             Step::NoteWait { node: index } => {
                 let index = node(index);
-                let may_order = self.nodes[index].leadership.token(Timestamp(self.now)).is_some();
+                let may_order =
+                    self.nodes[index].leadership.fencing_token(Timestamp(self.now)).is_some();
                 let is_its_own = self.nodes[index].lease_era == self.store.era();
                 if may_order && is_its_own && self.holder() == Some(index) {
                     self.store.revision += 1;
@@ -225,7 +226,9 @@
             }
             Step::Order { node: index, on_the_way } => {
                 let sender = node(index);
-                if let Some(token) = self.nodes[sender].leadership.token(Timestamp(self.now)) {
+                if let Some(token) =
+                    self.nodes[sender].leadership.fencing_token(Timestamp(self.now))
+                {
                     self.orders.push((self.now + way(on_the_way) * 2, sender, token));
                 }
             }
@@ -271,11 +274,15 @@
 fn a_node_that_was_paused_past_its_lease_does_not_order() {
     let mut leader = Leadership::new(TIMES);
     leader.acquire(7, Timestamp(0), Timestamp(10), Predecessor::Nobody);
-    assert_eq!(leader.token(Timestamp(100)), Some(7));
-    assert_eq!(leader.token(Timestamp(2000)), None, "the order could arrive after the lease");
+    assert_eq!(leader.fencing_token(Timestamp(100)), Some(7));
+    assert_eq!(
+        leader.fencing_token(Timestamp(2000)),
+        None,
+        "the order could arrive after the lease"
+    );
     assert!(!leader.leads(Timestamp(2700)), "a tenth of the lease stays unused");
     leader.renew(Timestamp(2690), Timestamp(2800));
-    assert_eq!(leader.token(Timestamp(2801)), None, "a term that is over stays over");
+    assert_eq!(leader.fencing_token(Timestamp(2801)), None, "a term that is over stays over");
 }
 
 #[test]
@@ -283,17 +290,17 @@
     let mut successor = Leadership::new(TIMES);
     successor.acquire(8, Timestamp(0), Timestamp(20), Predecessor::OtherNode);
     assert!(successor.leads(Timestamp(30)));
-    assert_eq!(successor.token(Timestamp(1000)), None);
+    assert_eq!(successor.fencing_token(Timestamp(1000)), None);
     successor.renew(Timestamp(1500), Timestamp(1510));
     successor.renew(Timestamp(3000), Timestamp(3010));
-    assert_eq!(successor.token(Timestamp(3421)), Some(8));
+    assert_eq!(successor.fencing_token(Timestamp(3421)), Some(8));
 }
 
 #[test]
 fn only_a_node_that_led_last_may_lead_again_before_its_lease_is_over() {
     let candidacy = |holder, last| {
-        let standing = Standing { holder, last, last_has_waited: true };
-        candidacy("a", &standing, OwnKnowledge::default())
+        let standing = LeadershipState { holder, last, last_has_waited: true };
+        candidacy("a", &standing, CandidateContext::default())
     };
     assert_eq!(candidacy(None, Some("b")), Some(Predecessor::OtherNode));
     assert_eq!(candidacy(None, Some("a")), Some(Predecessor::SameNode));
@@ -304,8 +311,8 @@
 #[test]
 fn where_the_store_knows_of_no_leader_there_was_none_only_in_a_fleet_that_began_since() {
     let knowledge =
-        |fleet_began_in_era, own_term_runs| OwnKnowledge { fleet_began_in_era, own_term_runs };
-    let candidacy = |knowledge| candidacy("a", &Standing::default(), knowledge);
+        |fleet_began_in_era, own_term_runs| CandidateContext { fleet_began_in_era, own_term_runs };
+    let candidacy = |knowledge| candidacy("a", &LeadershipState::default(), knowledge);
     assert_eq!(candidacy(knowledge(true, false)), Some(Predecessor::Nobody));
     assert_eq!(candidacy(knowledge(false, true)), Some(Predecessor::OwnTerm));
     assert_eq!(candidacy(knowledge(false, false)), Some(Predecessor::Unknown));
--- a/crates/cometmoor-core/tests/gateway_proof.rs
+++ b/crates/cometmoor-core/tests/gateway_proof.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bolero::TypeGenerator;
-use cometmoor_core::gateway::proof::{ProofLimits, ProofOfPeer, ProofRequests};
+use cometmoor_core::gateway::proof::{PeerProof, ProofLimits, ProofRequests};
 use cometmoor_core::time::BootInstant;
 
 use schedules::for_each_schedule;
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Message {
     Request { from: usize, number: u64 },
-    Answer { number: u64, answer: ProofOfPeer },
+    Answer { number: u64, answer: PeerProof },
 }
 
 /// A call to the store: when it began, when the answer comes, and what it holds.
@@ -153,7 +153,7 @@
             match message {
                 Message::Request { from, number } => {
                     let answer =
-                        ProofOfPeer { version: self.nodes[node].version, age: self.age(node) };
+                        PeerProof { version: self.nodes[node].version, age: self.age(node) };
                     self.send(node, from, Message::Answer { number, answer });
                 }
                 Message::Answer { number, answer } => self.take_proof(node, number, answer),
@@ -161,9 +161,9 @@
         }
     }
 
-    fn take_proof(&mut self, node: usize, number: u64, answer: ProofOfPeer) {
+    fn take_proof(&mut self, node: usize, number: u64, answer: PeerProof) {
         let known = &mut self.nodes[node];
-        let proven = known.requests.answered(number, answer, known.version);
+        let proven = known.requests.handle_answer(number, answer, known.version);
         let millis = |proven: BootInstant| u64::try_from(proven.since(at(0)).as_millis()).unwrap();
         known.proven = known.proven.max(proven.map(millis));
         // A newer copy is fetched.
@@ -187,14 +187,14 @@
 
     fn ask(&mut self, node: usize) {
         let age = self.age(node);
-        let is_urgent = self.limits.patience_left(age).is_some_and(|left| left.is_zero());
+        let is_urgent = self.limits.time_until_refresh(age).is_some_and(|left| left.is_zero());
         let on_duty = node == 0 && age.is_none_or(|age| age >= Duration::from_millis(DUTY_EACH));
         if (is_urgent || on_duty) && self.nodes[node].call.is_none() {
             self.call_store(node);
         }
-        if self.limits.is_wanted(age) {
+        if self.limits.needs_peer_proof(age) {
             let now = at(self.now);
-            if let Some((number, source)) = self.nodes[node].requests.next(NODES - 1, now) {
+            if let Some((number, source)) = self.nodes[node].requests.next_request(NODES - 1, now) {
                 let target = (node + NODES - source - 1) % NODES;
                 let target = if node != 0 && source == 0 { 0 } else { target };
                 self.send(node, target, Message::Request { from: node, number });
--- a/crates/cometmoor-core/tests/gateway_quarantine.rs
+++ b/crates/cometmoor-core/tests/gateway_quarantine.rs
@@ -7,7 +7,8 @@
 
 use bolero::TypeGenerator;
 use cometmoor_core::gateway::quarantine::{
-    CRASH_LIMIT, Fingerprint, QUARANTINE_LIFETIME, Quarantine, Standing, SuspectReport, Verdict,
+    CRASH_LIMIT, CrashVerdict, Fingerprint, QUARANTINE_LIFETIME, Quarantine, QuarantineStatus,
+    SuspectReport,
 };
 use cometmoor_core::time::Timestamp;
 
@@ -32,40 +33,43 @@
 #[test]
 fn content_is_quarantined_after_three_crashes() {
     let mut quarantine = Quarantine::default();
-    assert_eq!(quarantine.note_crash(DEADLY, 10, second(0)), Verdict::Suspect(1));
-    assert_eq!(quarantine.note_crash(DEADLY, 11, second(1)), Verdict::Suspect(2));
-    assert_eq!(quarantine.standing(DEADLY, second(1)), Standing::Free);
-    assert_eq!(quarantine.note_crash(DEADLY, 12, second(2)), Verdict::Quarantined);
-    assert_eq!(quarantine.standing(DEADLY, second(2)), Standing::Quarantined(QUARANTINE_LIFETIME));
-    assert_eq!(quarantine.standing(SOUND, second(2)), Standing::Free);
+    assert_eq!(quarantine.note_crash(DEADLY, 10, second(0)), CrashVerdict::Suspect(1));
+    assert_eq!(quarantine.note_crash(DEADLY, 11, second(1)), CrashVerdict::Suspect(2));
+    assert_eq!(quarantine.status(DEADLY, second(1)), QuarantineStatus::Allowed);
+    assert_eq!(quarantine.note_crash(DEADLY, 12, second(2)), CrashVerdict::Quarantined);
+    assert_eq!(
+        quarantine.status(DEADLY, second(2)),
+        QuarantineStatus::Quarantined(QUARANTINE_LIFETIME)
+    );
+    assert_eq!(quarantine.status(SOUND, second(2)), QuarantineStatus::Allowed);
 }
 
 #[test]
 fn content_waits_for_open_checks_only_where_they_may_quarantine_it() {
     let mut quarantine = Quarantine::default();
-    quarantine.begin_check(DEADLY);
-    quarantine.begin_check(DEADLY);
-    assert!(!quarantine.is_undecided(DEADLY), "two servers may have crashed");
-    quarantine.begin_check(DEADLY);
-    assert!(quarantine.is_undecided(DEADLY) && !quarantine.is_undecided(SOUND));
-    quarantine.end_check(DEADLY);
-    assert!(!quarantine.is_undecided(DEADLY), "one of the three has not crashed");
+    quarantine.begin_crash_check(DEADLY);
+    quarantine.begin_crash_check(DEADLY);
+    assert!(!quarantine.is_decision_pending(DEADLY), "two servers may have crashed");
+    quarantine.begin_crash_check(DEADLY);
+    assert!(quarantine.is_decision_pending(DEADLY) && !quarantine.is_decision_pending(SOUND));
+    quarantine.end_crash_check(DEADLY);
+    assert!(!quarantine.is_decision_pending(DEADLY), "one of the three has not crashed");
     crashed_under(&mut quarantine, DEADLY, 1);
-    assert!(quarantine.is_undecided(DEADLY));
-    (0..2).for_each(|_| quarantine.end_check(DEADLY));
-    assert!(!quarantine.is_undecided(DEADLY), "nothing is open");
+    assert!(quarantine.is_decision_pending(DEADLY));
+    (0..2).for_each(|_| quarantine.end_crash_check(DEADLY));
+    assert!(!quarantine.is_decision_pending(DEADLY), "nothing is open");
 }
 
 #[test]
 fn one_server_counts_once_whoever_saw_it_crash() {
     let mut quarantine = Quarantine::default();
     for _ in 0..CRASH_LIMIT {
-        assert_eq!(quarantine.note_crash(DEADLY, 10, second(0)), Verdict::Suspect(1));
+        assert_eq!(quarantine.note_crash(DEADLY, 10, second(0)), CrashVerdict::Suspect(1));
     }
     let mut other = Quarantine::default();
     other.note_crash(DEADLY, 10, second(0));
     quarantine.merge(&other.next_reports(second(1)), second(1));
-    assert_eq!(quarantine.note_crash(DEADLY, 11, second(2)), Verdict::Suspect(2));
+    assert_eq!(quarantine.note_crash(DEADLY, 11, second(2)), CrashVerdict::Suspect(2));
 }
 
 #[test]
@@ -74,7 +78,7 @@
     crashed_under(&mut quarantine, SOUND, 2);
     assert!(quarantine.note_answer(SOUND, second(5)));
     assert!(!quarantine.note_answer(SOUND, second(6)), "there was nothing to clear");
-    assert_eq!(quarantine.note_crash(SOUND, 20, second(60)), Verdict::Suspect(1));
+    assert_eq!(quarantine.note_crash(SOUND, 20, second(60)), CrashVerdict::Suspect(1));
 }
 
 /// What many callers ask for is at several servers at any time, and would be present at three
@@ -84,14 +88,14 @@
     let mut quarantine = Quarantine::default();
     quarantine.note_answer(SOUND, second(0));
     for server in 0..12 {
-        assert_eq!(quarantine.note_crash(SOUND, server, second(5)), Verdict::Cleared);
+        assert_eq!(quarantine.note_crash(SOUND, server, second(5)), CrashVerdict::Cleared);
     }
     let mut elsewhere = Quarantine::default();
     crashed_under(&mut elsewhere, SOUND, 3);
     quarantine.merge(&elsewhere.next_reports(second(6)), second(6));
-    assert_eq!(quarantine.standing(SOUND, second(6)), Standing::Free);
+    assert_eq!(quarantine.status(SOUND, second(6)), QuarantineStatus::Allowed);
     elsewhere.merge(&quarantine.next_reports(second(7)), second(7));
-    assert_eq!(elsewhere.standing(SOUND, second(7)), Standing::Free, "it is told so");
+    assert_eq!(elsewhere.status(SOUND, second(7)), QuarantineStatus::Allowed, "it is told so");
 }
 
 #[test]
@@ -99,8 +103,8 @@
     let mut quarantine = Quarantine::default();
     crashed_under(&mut quarantine, DEADLY, 3);
     let later = second(0) + QUARANTINE_LIFETIME;
-    assert_eq!(quarantine.standing(DEADLY, later), Standing::Free);
-    assert_eq!(quarantine.note_crash(DEADLY, 30, later), Verdict::Quarantined);
+    assert_eq!(quarantine.status(DEADLY, later), QuarantineStatus::Allowed);
+    assert_eq!(quarantine.note_crash(DEADLY, 30, later), CrashVerdict::Quarantined);
 }
 
 #[test]
@@ -108,7 +112,7 @@
     let mut quarantine = Quarantine::default();
     crashed_under(&mut quarantine, SOUND, 2);
     let later = second(0) + 2 * QUARANTINE_LIFETIME;
-    assert_eq!(quarantine.note_crash(SOUND, 30, later), Verdict::Suspect(1));
+    assert_eq!(quarantine.note_crash(SOUND, 30, later), CrashVerdict::Suspect(1));
 }
 
 #[test]
@@ -117,7 +121,7 @@
     assert!(quarantine.restore(DEADLY, second(0)));
     assert!(!quarantine.restore(DEADLY, second(0)), "it is known");
     assert!(quarantine.unstored(true, second(0)).is_empty());
-    assert_ne!(quarantine.standing(DEADLY, second(1)), Standing::Free);
+    assert_ne!(quarantine.status(DEADLY, second(1)), QuarantineStatus::Allowed);
     let mut other = Quarantine::default();
     assert_eq!(other.merge(&quarantine.next_reports(second(1)), second(1)), vec![DEADLY]);
     assert_eq!(other.unstored(true, second(1)), vec![DEADLY]);
@@ -216,7 +220,8 @@
 fn check_blame(nodes: &[Quarantine], truths: &[Truth], now: Timestamp) {
     for (content, truth) in truths.iter().enumerate() {
         let content = Fingerprint(content as u64);
-        let is_quarantined = nodes.iter().any(|node| node.standing(content, now) != Standing::Free);
+        let is_quarantined =
+            nodes.iter().any(|node| node.status(content, now) != QuarantineStatus::Allowed);
         assert!(
             !is_quarantined || truth.servers.len() >= CRASH_LIMIT,
             "{content} is blamed wrongly"
@@ -235,8 +240,10 @@
     }
     for content in 0..CONTENTS {
         let content = Fingerprint(content.into());
-        let standings: Vec<bool> =
-            nodes.iter().map(|node| node.standing(content, now) == Standing::Free).collect();
+        let standings: Vec<bool> = nodes
+            .iter()
+            .map(|node| node.status(content, now) == QuarantineStatus::Allowed)
+            .collect();
         assert!(standings.windows(2).all(|pair| pair[0] == pair[1]), "{content}: {standings:?}");
     }
 }
--- a/crates/cometmoor-core/tests/gateway_staleness.rs
+++ b/crates/cometmoor-core/tests/gateway_staleness.rs
@@ -131,11 +131,11 @@
             exists: true,
             is_superseded: false,
             is_reader: answered < READERS && failing < 2 * READERS,
-            place: answered,
+            preceding_nodes: answered,
             is_small_fleet: true,
             age: age(self.nodes[node].confirmed),
-            told_age: age(self.nodes[node].told_confirmed),
-            proof_patience_left: None,
+            peer_reported_age: age(self.nodes[node].told_confirmed),
+            time_until_proof_refresh: None,
         }
     }
 
@@ -162,12 +162,14 @@
                 state.take_answer(revision, now);
             }
             Call::Poll { .. } if answered => state.take_answer(revision, now),
-            Call::Watch { ends, .. } if now >= ends || limits.patience_left(&view).is_zero() => {
+            Call::Watch { ends, .. }
+                if now >= ends || limits.time_until_refresh(&view).is_zero() =>
+            {
                 state.doubts = true;
                 state.call = Call::None { until: now };
             }
             Call::Poll { ends } if now >= ends => {
-                let pause = limits.retry_pause(state.failures, &view);
+                let pause = limits.retry_delay(state.failures, &view);
                 state.failures += 1;
                 state.failing = true;
                 state.doubts = true;
@@ -183,13 +185,13 @@
         let state = &mut self.nodes[node];
         state.reaches = state.open_since.is_some();
         state.call = match limits.next_call(view) {
-            NextCall::Rest(rest) => Call::None { until: now + millis(rest) },
+            NextCall::Wait(rest) => Call::None { until: now + millis(rest) },
             NextCall::Watch(wait) if !state.doubts => Call::Watch {
                 until: now + millis(wait),
-                ends: now + millis(wait + limits.watch_slack()),
+                ends: now + millis(wait + limits.watch_grace()),
             },
             NextCall::Watch(_) | NextCall::Poll | NextCall::Read => {
-                Call::Poll { ends: now + millis(limits.poll_time(state.failures)) }
+                Call::Poll { ends: now + millis(limits.poll_timeout(state.failures)) }
             }
         };
     }
@@ -209,7 +211,7 @@
             }
             for to in (0..NODES).filter(|to| *to != from) {
                 let view = self.view(to);
-                let too_old = self.limits.patience_left(&view).is_zero();
+                let too_old = self.limits.time_until_refresh(&view).is_zero();
                 if !self.nodes[to].is_isolated {
                     self.nodes[to].hear(from, told, &view, too_old);
                 }
--- a/crates/cometmoor-gateway/src/control/campaign.rs
+++ b/crates/cometmoor-gateway/src/control/campaign.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cometmoor_core::gateway::leadership::{Predecessor, Standing, candidacy};
+use cometmoor_core::gateway::leadership::{LeadershipState, Predecessor, candidacy};
 use cometmoor_core::gateway::store_position::StoreEra;
 
 use super::leader::Leader;
@@ -84,12 +84,12 @@
     let last = found.items.get(&keys.last);
     let holder_name = holder.map(|item| String::from_utf8_lossy(&item.value));
     let last_leader = last.map(|item| decode_last(&item.value));
-    let standing = Standing {
+    let standing = LeadershipState {
         holder: holder_name.as_deref(),
         last: last_leader.as_ref().map(|(name, _)| name.as_str()),
         last_has_waited: last_leader.as_ref().is_some_and(|(_, has_waited)| *has_waited),
     };
-    let knowledge = leader.own_knowledge(era);
+    let knowledge = leader.candidate_context(era);
     let Some(predecessor) = candidacy(&leader.identity(), &standing, knowledge) else {
         return Ok(None);
     };
--- a/crates/cometmoor-gateway/src/control/fleet/changes.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/changes.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use cometmoor_core::gateway::registry::{ServerEntry, ServerState};
-use cometmoor_core::gateway::restored_registry::Servers;
+use cometmoor_core::gateway::restored_registry::ServersByIncarnation;
 use spdlog::info;
 
 use super::FleetState;
@@ -17,7 +17,7 @@
 
 impl FleetState {
     /// Tells which servers came, went or are leaving.
-    pub(super) fn log_server_changes(&self, fresh: &Servers) {
+    pub(super) fn log_server_changes(&self, fresh: &ServersByIncarnation) {
         let state = |id: &Arc<str>| self.servers.get(id).map(|known| known.record.state);
         let changed = fresh.iter().filter(|(id, known)| state(id) != Some(known.record.state));
         let changed: Vec<&ServerEntry> = changed.map(|(_, known)| known).collect();
@@ -79,7 +79,7 @@
 }
 
 fn log_server(known: &ServerEntry) {
-    let ServerEntry { created, ref record, .. } = *known;
+    let ServerEntry { create_revision: created, ref record, .. } = *known;
     let server = &*record.incarnation;
     let address = record.address.to_string();
     let service = record.service.as_str();
--- a/crates/cometmoor-gateway/src/control/fleet/entries.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/entries.rs
@@ -7,7 +7,9 @@
 
 use cometmoor_core::gateway::configuration::GatewayConfiguration;
 use cometmoor_core::gateway::registry::{ServerEntry, ServerRecord};
-use cometmoor_core::gateway::restored_registry::{Believed, RestoredRegistry, Servers};
+use cometmoor_core::gateway::restored_registry::{
+    EffectiveServers, RestoredRegistry, ServersByIncarnation,
+};
 use cometmoor_core::gateway::store_position::StoreEra;
 use spdlog::{info, warn};
 
@@ -46,8 +48,8 @@
     }
 
     /// Whether what is believed of the servers changes with time.
-    pub(super) fn awaits_rewriting(&self) -> bool {
-        self.restored.awaits_rewriting()
+    pub(super) fn awaits_rewrites(&self) -> bool {
+        self.restored.awaits_rewrites()
     }
 
     /// Tells the servers to use by a copy of the store, and by what was believed until now.
@@ -56,8 +58,8 @@
         copy: &Mirror,
         dialect: &dyn Dialect,
         configuration: Option<&GatewayConfiguration>,
-        until_now: &Servers,
-    ) -> Believed {
+        until_now: &ServersByIncarnation,
+    ) -> EffectiveServers {
         let now = clock::now();
         let is_restored = !self.readable.is_empty() && self.era < copy.at.era;
         if is_restored {
@@ -66,12 +68,12 @@
         let entries = self.read(copy, dialect, configuration);
         let prefix = dialect.servers_prefix();
         let ended = copy.gone().filter_map(|key| key.strip_prefix(prefix)).collect();
-        let believed = self.restored.believe(entries, &ended, now);
+        let believed = self.restored.effective_servers(entries, &ended, now);
         if is_restored {
             log_restore(&believed);
         }
         let gone = until_now.keys().filter(|server| !believed.servers.contains_key(*server));
-        self.restored.note_gone(gone, now);
+        self.restored.note_removed(gone, now);
         believed
     }
 
@@ -84,7 +86,7 @@
         copy: &Mirror,
         dialect: &dyn Dialect,
         configuration: Option<&GatewayConfiguration>,
-    ) -> Servers {
+    ) -> ServersByIncarnation {
         let is_configured = |record: &ServerRecord| {
             configuration.is_none_or(|known| known.services.contains_key(&record.service))
         };
@@ -102,7 +104,10 @@
             let reason = match parsed {
                 Ok(record) if is_configured(&record) => {
                     let created = item.created;
-                    readable.insert(key.clone(), ServerEntry { revision, created, record });
+                    readable.insert(
+                        key.clone(),
+                        ServerEntry { revision, create_revision: created, record },
+                    );
                     continue;
                 }
                 Ok(record) => format!("service {:?} is not configured", record.service),
@@ -140,7 +145,7 @@
     }
 }
 
-fn log_restore(believed: &Believed) {
+fn log_restore(believed: &EffectiveServers) {
     let servers = believed.servers.len();
     let (unwritten, passed_over) = (believed.unwritten, believed.passed_over);
     let still_leaving = believed.still_leaving.len();
@@ -149,11 +154,14 @@
 
 /// The servers by incarnation, without those whose address a later one has: they have
 /// ended, though their entries have not run out yet.
-fn without_replaced(entries: &HashMap<String, ServerEntry>) -> Servers {
+fn without_replaced(entries: &HashMap<String, ServerEntry>) -> ServersByIncarnation {
     let mut latest: HashMap<SocketAddrV4, &ServerEntry> = HashMap::new();
     for known in entries.values() {
         let holder = latest.entry(known.record.address).or_insert(known);
-        if known.record.is_later_than(&holder.record, known.created > holder.created) {
+        if known
+            .record
+            .is_later_than(&holder.record, known.create_revision > holder.create_revision)
+        {
             *holder = known;
         }
     }
--- a/crates/cometmoor-gateway/src/control/fleet/messages.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/messages.rs
@@ -46,7 +46,7 @@
     type Result = ();
 
     fn handle(&mut self, mut read: CopyRead, _: &mut Context<FleetState>) {
-        read.mirror.at = self.context.store.eras().place_read(read.mirror.at, read.known);
+        read.mirror.at = self.context.store.eras().classify_read(read.mirror.at, read.known);
         let (subject, era) = (read.subject, read.mirror.at.era);
         let copy = self.copy(subject);
         copy.confirm(subject);
@@ -345,7 +345,7 @@
     type Result = MessageResult<GetPatienceLeft>;
 
     fn handle(&mut self, get: GetPatienceLeft, _: &mut Context<FleetState>) -> Self::Result {
-        MessageResult(self.staleness.patience_left(&self.copy_view(get.0)))
+        MessageResult(self.staleness.time_until_refresh(&self.copy_view(get.0)))
     }
 }
 
@@ -359,7 +359,7 @@
     type Result = MessageResult<GetRetryPause>;
 
     fn handle(&mut self, get: GetRetryPause, _: &mut Context<FleetState>) -> Self::Result {
-        MessageResult(self.staleness.retry_pause(get.1, &self.copy_view(get.0)))
+        MessageResult(self.staleness.retry_delay(get.1, &self.copy_view(get.0)))
     }
 }
 
--- a/crates/cometmoor-gateway/src/control/fleet/mod.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/mod.rs
@@ -16,7 +16,7 @@
 use cometmoor_core::gateway::configuration::ConfigurationInForce;
 use cometmoor_core::gateway::proof::{ProofLimits, ProofRequests};
 use cometmoor_core::gateway::registry::{ServerEntry, ServerRecord, ServerState};
-use cometmoor_core::gateway::restored_registry::Servers;
+use cometmoor_core::gateway::restored_registry::ServersByIncarnation;
 use cometmoor_core::gateway::signals::IncarnationHash;
 use cometmoor_core::gateway::staleness::{CopyView, StalenessLimits};
 use cometmoor_core::time::{BootInstant, Timestamp};
@@ -70,7 +70,7 @@
     lost_version: Option<u64>,
     entries: ServerEntries,
     /// By incarnation.
-    servers: Servers,
+    servers: ServersByIncarnation,
     load_summed: Timestamp,
     servers_fetched: Option<Timestamp>,
     peers: Membership,
@@ -273,7 +273,7 @@
 
     /// Age of a copy from which on this node asks the store itself.
     fn patience(&self) -> Duration {
-        self.staleness.patience(self.peers.place(), self.peers.is_small())
+        self.staleness.refresh_age(self.peers.place(), self.peers.is_small())
     }
 
     /// What this node knows of one of its copies, and of its part in the fleet.
@@ -283,12 +283,12 @@
             exists: copy.mirror.exists(),
             is_superseded: copy.mirror.at.era < self.context.store.eras().newest(),
             is_reader: self.reads(subject),
-            place: self.peers.place(),
+            preceding_nodes: self.peers.place(),
             is_small_fleet: self.peers.is_small(),
             age: copy.age(),
-            told_age: copy.age_told_by_peers(),
-            proof_patience_left: match subject {
-                Subject::Configuration => self.proof_patience_left(),
+            peer_reported_age: copy.age_told_by_peers(),
+            time_until_proof_refresh: match subject {
+                Subject::Configuration => self.time_until_proof_refresh(),
                 Subject::Servers => None,
             },
         }
@@ -395,7 +395,7 @@
         self.context.signals.tick();
         let now = self.now();
         self.peers.tick(now);
-        if self.entries.awaits_rewriting() {
+        if self.entries.awaits_rewrites() {
             self.take_in_servers();
         }
         self.log_member_changes();
--- a/crates/cometmoor-gateway/src/control/fleet/proofs.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/proofs.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use actix::{Context, Handler, Message, MessageResult};
-use cometmoor_core::gateway::proof::{HeardRestore, ProofOfPeer};
+use cometmoor_core::gateway::proof::{KnownRestore, PeerProof};
 use cometmoor_core::gateway::store_position::StoreEra;
 use cometmoor_core::time::BootInstant;
 
@@ -22,11 +22,11 @@
 
     /// Asks another node for a proof, where this node's is getting old.
     pub(super) fn proof_request(&mut self) -> Option<Outgoing> {
-        if !self.proof_limits.is_wanted(self.copies[&Subject::Configuration].proof_age()) {
+        if !self.proof_limits.needs_peer_proof(self.copies[&Subject::Configuration].proof_age()) {
             return None;
         }
         let sources = self.peers.proof_sources();
-        let (number, source) = self.proof_requests.next(sources.len(), clock::now())?;
+        let (number, source) = self.proof_requests.next_request(sources.len(), clock::now())?;
         let from = self.context.settings.peer_address;
         let message = PeerMessage::ProofRequest(ProofRequest { from, number });
         Some(Outgoing { message, targets: vec![sources[source]] })
@@ -34,12 +34,12 @@
 
     /// Takes a peer's answer.
     pub(super) fn take_proof(&mut self, answer: &ProofAnswer) {
-        let proof = ProofOfPeer {
+        let proof = PeerProof {
             version: answer.configuration,
             age: answer.age_millis.map(|millis| Duration::from_millis(millis.into())),
         };
         let own_version = self.configuration.version();
-        let at = self.proof_requests.answered(answer.number, proof, own_version);
+        let at = self.proof_requests.handle_answer(answer.number, proof, own_version);
         if let Some(at) = at {
             self.context.store.eras().note_peer(answer.era);
             self.prove(Subject::Configuration, answer.era, at);
@@ -64,19 +64,19 @@
         let Some(item) = copy.mirror.items.get(self.context.dialect.configuration_key()) else {
             return false;
         };
-        let lets_prove =
-            |restored: HeardRestore| restored.lets_prove(era, at, copy.is_rewritten(item));
-        !item.is_lost && restored.is_none_or(lets_prove)
+        let allows_proof =
+            |restored: KnownRestore| restored.allows_proof(era, at, copy.is_rewritten(item));
+        !item.is_lost && restored.is_none_or(allows_proof)
     }
 
     /// Time left until the store is to be asked for a proof; none where no key depends on it,
     /// or where the store cannot prove anything now.
-    pub(super) fn proof_patience_left(&self) -> Option<Duration> {
+    pub(super) fn time_until_proof_refresh(&self) -> Option<Duration> {
         let era = self.copies[&Subject::Configuration].mirror.at.era;
         if !self.proof_counts(era, clock::now()) {
             return None;
         }
-        self.proof_limits.patience_left(self.copies[&Subject::Configuration].proof_age())
+        self.proof_limits.time_until_refresh(self.copies[&Subject::Configuration].proof_age())
     }
 
     fn proof_answer(&self, number: u64) -> ProofAnswer {
--- a/crates/cometmoor-gateway/src/control/leader/calls.rs
+++ b/crates/cometmoor-gateway/src/control/leader/calls.rs
@@ -69,7 +69,7 @@
         match report {
             Ok(report) if engine.is_of_another_life(&report) => {
                 engine.note_other_life(&report);
-                let (server, born) = (&**id, report.born.unwrap_or_default());
+                let (server, born) = (&**id, report.started_unix_ms.unwrap_or_default());
                 warn!("[leader] a report is of another life of the server", kv: { step = "report", server, born });
             }
             Ok(report) => {
@@ -154,7 +154,7 @@
         });
         // Between the plan and the connection the lease may have lapsed, most of
         // all on a machine that was slow or frozen meanwhile.
-        let may_order = || self.leadership.borrow().token(self.now()) == Some(token);
+        let may_order = || self.leadership.borrow().fencing_token(self.now()) == Some(token);
         let answer = client.call_if(&call, ORDER_TIMEOUT, may_order).await?;
         self.note_leaving(incarnation, Some(&answer));
         Ok(self.context.dialect.parse_order(&answer))
--- a/crates/cometmoor-gateway/src/control/leader/engine.rs
+++ b/crates/cometmoor-gateway/src/control/leader/engine.rs
@@ -66,7 +66,7 @@
     /// Whether a report is known to be of an earlier or later life of the server than
     /// the entry tells of.
     pub(super) fn is_of_another_life(&self, report: &EngineReport) -> bool {
-        match (self.record.born, report.born) {
+        match (self.record.started_unix_ms, report.started_unix_ms) {
             (Some(known), Some(told)) => known != told,
             _ => false,
         }
@@ -75,7 +75,7 @@
     /// Takes in that the server reports another life. Where that is a later one, this
     /// one is over: it is ordered nothing more. A report of an earlier one is old.
     pub(super) fn note_other_life(&mut self, report: &EngineReport) {
-        self.replaced |= report.born > self.record.born;
+        self.replaced |= report.started_unix_ms > self.record.started_unix_ms;
     }
 
     /// Takes one of the places for adapters on their way, if there is one left.
--- a/crates/cometmoor-gateway/src/control/leader/mod.rs
+++ b/crates/cometmoor-gateway/src/control/leader/mod.rs
@@ -13,7 +13,9 @@
 
 use actix::Addr;
 use cometmoor_core::gateway::configuration::{EngineProfile, GatewayConfiguration};
-use cometmoor_core::gateway::leadership::{Leadership, LeadershipTimes, OwnKnowledge, Predecessor};
+use cometmoor_core::gateway::leadership::{
+    CandidateContext, Leadership, LeadershipTiming, Predecessor,
+};
 use cometmoor_core::gateway::load_rate::LoadRate;
 use cometmoor_core::gateway::orders::{Action, NextStep, Weights};
 use cometmoor_core::gateway::planner::{
@@ -108,7 +110,11 @@
     fleet: &Addr<FleetState>,
     lease: Duration,
 ) -> Rc<Leader> {
-    let times = LeadershipTimes { lease, quiet: lease + QUIET_SLACK, order: ORDER_TIMEOUT };
+    let times = LeadershipTiming {
+        lease,
+        handover_delay: lease + QUIET_SLACK,
+        order_timeout: ORDER_TIMEOUT,
+    };
     let leader = Rc::new(Leader {
         context: context.clone(),
         fleet: fleet.clone(),
@@ -143,7 +149,7 @@
 
     /// Whether this node may order servers now.
     pub(super) fn may_order(&self) -> bool {
-        self.leadership.borrow().token(self.now()).is_some()
+        self.leadership.borrow().fencing_token(self.now()).is_some()
     }
 
     /// Nodes that were heard lately.
@@ -182,10 +188,10 @@
     }
 
     /// What this node knows of leadership beside what the store tells in this era.
-    pub(super) fn own_knowledge(&self, era: StoreEra) -> OwnKnowledge {
+    pub(super) fn candidate_context(&self, era: StoreEra) -> CandidateContext {
         let is_fresh =
             self.context.settings.fresh_fleet && clock::elapsed(self.started) < FLEET_IS_FRESH_FOR;
-        OwnKnowledge {
+        CandidateContext {
             fleet_began_in_era: is_fresh && self.context.store.eras().restored().is_none(),
             own_term_runs: self.leadership.borrow().lost_term_runs(era, self.now()),
         }
@@ -215,7 +221,7 @@
         let fleet = self.context.board.fleet.load_full();
         let Some(configuration) = fleet.configuration.clone() else { return };
         self.take_servers(&configuration, &fleet.servers);
-        let token = self.leadership.borrow().token(self.now());
+        let token = self.leadership.borrow().fencing_token(self.now());
         self.continue_orders(token);
         let Some(token) = token else { return };
         self.finish_withdrawals(token);
@@ -230,7 +236,7 @@
     /// Tells the nodes what the registry will tell later.
     fn tell_placement(&self) {
         let now = self.now();
-        let token = self.leadership.borrow().token(now).unwrap_or_default();
+        let token = self.leadership.borrow().fencing_token(now).unwrap_or_default();
         let leader = self.context.settings.peer_address;
         let placement = self.state.borrow_mut().placement(leader, token, now);
         self.fleet.do_send(SetPlacement(Some(placement)));
--- a/crates/cometmoor-gateway/src/control/quarantine.rs
+++ b/crates/cometmoor-gateway/src/control/quarantine.rs
@@ -69,7 +69,7 @@
         if self.era < newest {
             self.era = newest;
             self.leases.clear();
-            self.context.quarantine.forget_stored();
+            self.context.quarantine.clear_stored();
         }
     }
 
--- a/crates/cometmoor-gateway/src/control/watcher.rs
+++ b/crates/cometmoor-gateway/src/control/watcher.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use actix::Addr;
-use cometmoor_core::gateway::staleness::{NextCall, StalenessLimits, doubled};
+use cometmoor_core::gateway::staleness::{NextCall, StalenessLimits, exponential_backoff};
 use cometmoor_core::gateway::store_position::StorePosition;
 use cometmoor_core::time::BootInstant;
 use futures::future::{Either, select};
@@ -162,7 +162,7 @@
     async fn step(&self, step: Step, failures: u32) -> Result<Step, StoreError> {
         match step {
             Step::FirstRead | Step::ReadAgain => {
-                let time = doubled(FIRST_READ, failures, LONGEST_READ);
+                let time = exponential_backoff(FIRST_READ, failures, LONGEST_READ);
                 self.read(step == Step::FirstRead, time).await?;
                 Ok(Step::Follow)
             }
@@ -173,10 +173,10 @@
     async fn follow(&self, step: Step, failures: u32) -> Result<Step, StoreError> {
         // The actor ends only with the process.
         let asked = self.fleet.send(GetNextCall(self.subject)).await;
-        let idle = (NextCall::Rest(LONGEST_REST), StorePosition::default());
+        let idle = (NextCall::Wait(LONGEST_REST), StorePosition::default());
         let (next, after) = asked.unwrap_or(idle);
         match next {
-            NextCall::Rest(rest) => {
+            NextCall::Wait(rest) => {
                 clock::sleep(rest).await;
                 Ok(step)
             }
@@ -192,7 +192,7 @@
     /// days on which the store turns nodes away in silence).
     async fn watch(&self, after: StorePosition, wait: Duration) -> Result<Step, StoreError> {
         let (store, asked) = (&self.context.store, clock::now());
-        let watch = store.watch(self.prefix(), after, wait, self.limits().watch_slack());
+        let watch = store.watch(self.prefix(), after, wait, self.limits().watch_grace());
         match select(pin!(watch), pin!(self.copy_becomes_too_old())).await {
             Either::Left((watched, _)) => self.take(watched?, after, asked).await,
             Either::Right(((), _)) => {
@@ -219,7 +219,7 @@
 
     /// Asks for changes without waiting.
     async fn poll(&self, after: StorePosition, failures: u32) -> Result<Step, StoreError> {
-        let (time, asked) = (self.limits().poll_time(failures), clock::now());
+        let (time, asked) = (self.limits().poll_timeout(failures), clock::now());
         let watched = self.context.store.watch(self.prefix(), after, NO_WAIT, time).await?;
         self.take(watched, after, asked).await
     }
--- a/crates/cometmoor-gateway/src/dialect.rs
+++ b/crates/cometmoor-gateway/src/dialect.rs
@@ -279,13 +279,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineReport {
     /// When the process began, in Unix milliseconds; none where it does not tell.
-    pub born: Option<u64>,
+    pub started_unix_ms: Option<u64>,
     /// Orders taken.
     pub orders: u64,
     /// An order is under way.
     pub busy: bool,
     /// Models that it holds, with their adapters.
-    pub models: Vec<cometmoor_core::gateway::registry::HeldModel>,
+    pub models: Vec<cometmoor_core::gateway::registry::LoadedModel>,
     /// Adapters under way.
     pub pending_adapters: Vec<ModelName>,
     /// Models in host memory.
--- a/crates/cometmoor-gateway/src/forward/blame.rs
+++ b/crates/cometmoor-gateway/src/forward/blame.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cometmoor_core::gateway::quarantine::Verdict;
+use cometmoor_core::gateway::quarantine::CrashVerdict;
 use spdlog::{info, warn};
 
 use super::Forward;
@@ -40,7 +40,7 @@
         if !is_end_of_connection(error) || !server.takes_work() {
             return;
         }
-        self.traffic.quarantine.begin_check(self.content);
+        self.traffic.quarantine.begin_crash_check(self.content);
         let request = BrokenRequest { content: self.content, request: self.facts.id.clone() };
         let is_first = server.note_broken(request);
         if is_first {
@@ -93,7 +93,7 @@
             broken.iter().for_each(|request| self.blame(request));
             self.board.heartbeat_wanted.notify_one();
         }
-        broken.iter().for_each(|request| self.quarantine.end_check(request.content));
+        broken.iter().for_each(|request| self.quarantine.end_crash_check(request.content));
         self.server.note_probed();
     }
 
@@ -118,13 +118,13 @@
         let incarnation = &*self.server.record().incarnation;
         let (request, content) = (&*broken.request, broken.content.to_string());
         match self.quarantine.note_crash(broken.content, server_key(incarnation)) {
-            Verdict::Cleared => {
+            CrashVerdict::Cleared => {
                 info!("[quarantine] a server crashed beside a request that others answer", kv: { request, content, server = incarnation });
             }
-            Verdict::Suspect(crashes) => {
+            CrashVerdict::Suspect(crashes) => {
                 warn!("[quarantine] a server crashed while a request was there", kv: { request, content, server = incarnation, crashes });
             }
-            Verdict::Quarantined => {
+            CrashVerdict::Quarantined => {
                 warn!("[quarantine] no server gets a request from now on", kv: { request, content, server = incarnation, source = "own" });
             }
         }
--- a/crates/cometmoor-gateway/src/forward/mod.rs
+++ b/crates/cometmoor-gateway/src/forward/mod.rs
@@ -25,7 +25,7 @@
 use cometmoor_core::gateway::admission::{COME_BACK, come_back_after_queue, come_back_in};
 use cometmoor_core::gateway::attempts::{Attempts, Failure, Progress};
 use cometmoor_core::gateway::configuration::Route;
-use cometmoor_core::gateway::quarantine::{Fingerprint, Standing};
+use cometmoor_core::gateway::quarantine::{Fingerprint, QuarantineStatus};
 use cometmoor_core::gateway::tenants::Tenant;
 use cometmoor_core::time::BootInstant;
 use spdlog::info;
@@ -196,7 +196,9 @@
                 continue;
             }
             self.wait_for_verdict().await;
-            if let Standing::Quarantined(left) = self.traffic.quarantine.standing(self.content) {
+            if let QuarantineStatus::Quarantined(left) =
+                self.traffic.quarantine.status(self.content)
+            {
                 return self.no_server(kept_error, &stream, Refusal::Quarantined, left).await;
             }
             let server = match self.wait_for_server(service, &tried, &stream).await {
--- a/crates/cometmoor-gateway/src/published.rs
+++ b/crates/cometmoor-gateway/src/published.rs
@@ -100,7 +100,7 @@
     /// Whether the configuration is the store's newest, so that what it lacks does not
     /// exist.
     pub fn configuration_is_current(&self) -> bool {
-        !self.is_known_behind && self.proof_limits.tells_absence(self.proof_age())
+        !self.is_known_behind && self.proof_limits.proves_absence(self.proof_age())
     }
 
     /// What the configuration's keys are good for now.
--- a/crates/cometmoor-gateway/src/quarantine.rs
+++ b/crates/cometmoor-gateway/src/quarantine.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use cometmoor_core::gateway::quarantine::{
-    Fingerprint, IncarnationKey, Quarantine, Standing, SuspectReport, Verdict,
+    CrashVerdict, Fingerprint, IncarnationKey, Quarantine, QuarantineStatus, SuspectReport,
 };
 use cometmoor_core::time::Timestamp;
 use spdlog::{info, warn};
@@ -26,13 +26,13 @@
     }
 
     /// Whether a request may be sent to a server.
-    pub fn standing(&self, content: Fingerprint) -> Standing {
-        self.with(|quarantine, now| quarantine.standing(content, now))
+    pub fn status(&self, content: Fingerprint) -> QuarantineStatus {
+        self.with(|quarantine, now| quarantine.status(content, now))
     }
 
     /// Whether no server may get a request.
     pub fn is_quarantined(&self, content: Fingerprint) -> bool {
-        self.standing(content) != Standing::Free
+        self.status(content) != QuarantineStatus::Allowed
     }
 
     /// Notes that a server has answered a request well.
@@ -44,13 +44,13 @@
     }
 
     /// Notes that a server broke a connection under a request; whether it crashed is not known.
-    pub fn begin_check(&self, content: Fingerprint) {
-        self.with(|quarantine, _| quarantine.begin_check(content));
+    pub fn begin_crash_check(&self, content: Fingerprint) {
+        self.with(|quarantine, _| quarantine.begin_crash_check(content));
     }
 
     /// Notes that it is known whether one of those servers crashed.
-    pub fn end_check(&self, content: Fingerprint) {
-        self.with(|quarantine, _| quarantine.end_check(content));
+    pub fn end_crash_check(&self, content: Fingerprint) {
+        self.with(|quarantine, _| quarantine.end_crash_check(content));
         self.check_ended.notify_waiters();
     }
 
@@ -59,7 +59,7 @@
     pub async fn decided(&self, content: Fingerprint) {
         loop {
             let ended = self.check_ended.notified();
-            if !self.with(|quarantine, _| quarantine.is_undecided(content)) {
+            if !self.with(|quarantine, _| quarantine.is_decision_pending(content)) {
                 return;
             }
             ended.await;
@@ -67,7 +67,7 @@
     }
 
     /// Notes that a server crashed while a request was there.
-    pub fn note_crash(&self, content: Fingerprint, server: IncarnationKey) -> Verdict {
+    pub fn note_crash(&self, content: Fingerprint, server: IncarnationKey) -> CrashVerdict {
         self.with(|quarantine, now| quarantine.note_crash(content, server, now))
     }
 
@@ -108,8 +108,8 @@
     }
 
     /// Notes that the store may have lost what it held.
-    pub fn forget_stored(&self) {
-        self.with(|quarantine, _| quarantine.forget_stored());
+    pub fn clear_stored(&self) {
+        self.with(|quarantine, _| quarantine.clear_stored());
     }
 
     /// Notes that the store holds the quarantine of content.
--- a/crates/cometmoor-gateway/src/servers.rs
+++ b/crates/cometmoor-gateway/src/servers.rs
@@ -253,7 +253,7 @@
         let record = self.record.borrow();
         let server = server_key(&record.incarnation);
         let base = model_key(&model.model, None);
-        let held = record.held(&model.model);
+        let held = record.loaded_model(&model.model);
         let has_base = held.is_some() || placement.added.contains(&(server, base));
         if !has_base || !self.has(server, base, placement, now) {
             return false;
--- a/crates/cometmoor-gateway/src/store_era.rs
+++ b/crates/cometmoor-gateway/src/store_era.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
 
-use cometmoor_core::gateway::proof::HeardRestore;
+use cometmoor_core::gateway::proof::KnownRestore;
 use cometmoor_core::gateway::store_position::{AnswerEra, KnownEra, StoreEra, StorePosition};
 use spdlog::{info, warn};
 use tokio::sync::Notify;
@@ -19,7 +19,7 @@
 /// Keeps the newest era, and tells when one begins.
 pub struct EraWatch {
     known: RefCell<KnownEra>,
-    restored: Cell<Option<HeardRestore>>,
+    restored: Cell<Option<KnownRestore>>,
     begun: Notify,
     metrics: Arc<Metrics>,
     /// Whether the last answer's number could not be read, or had none where others had.
@@ -44,7 +44,7 @@
     }
 
     /// The last restore of the store that was heard of; none where it was always of one era.
-    pub fn restored(&self) -> Option<HeardRestore> {
+    pub fn restored(&self) -> Option<KnownRestore> {
         self.restored.get()
     }
 
@@ -77,8 +77,8 @@
 
     /// Places what was read of everything when `known` was the point of the copy before the
     /// question: a read that is older shows a loss of which no number tells.
-    pub fn place_read(&self, read: StorePosition, known: StorePosition) -> StorePosition {
-        let noted = self.known.borrow_mut().place_read(read, known);
+    pub fn classify_read(&self, read: StorePosition, known: StorePosition) -> StorePosition {
+        let noted = self.known.borrow_mut().classify_read(read, known);
         let era = self.take(noted, "read").unwrap_or(read.era);
         StorePosition { era, ..read }
     }
@@ -91,11 +91,11 @@
                 warn!("[store] an answer of an era that is over is dropped", kv: { step, era, newest });
                 return Err(EraIsOver(past));
             }
-            AnswerEra::Begun { era, before: None } => {
+            AnswerEra::New { era, before: None } => {
                 info!("[store] its era is known", kv: { step, era = era.to_string() });
             }
-            AnswerEra::Begun { era, before: Some(before) } => {
-                self.restored.set(Some(HeardRestore { era, heard: clock::now() }));
+            AnswerEra::New { era, before: Some(before) } => {
+                self.restored.set(Some(KnownRestore { era, heard_at: clock::now() }));
                 self.metrics.store_losses.inc();
                 let (era, before) = (era.to_string(), before.to_string());
                 warn!("[store] it has come back from an older copy", kv: { step, era, before });
--- a/crates/cometmoor-gateway/tests/mirror_restores.rs
+++ b/crates/cometmoor-gateway/tests/mirror_restores.rs
@@ -81,7 +81,7 @@
         match message {
             Message::Store { number, newest_then, answer, .. } => {
                 let era = match self.era.note_answer(number, newest_then) {
-                    AnswerEra::Newest(era) | AnswerEra::Begun { era, .. } => era,
+                    AnswerEra::Newest(era) | AnswerEra::New { era, .. } => era,
                     AnswerEra::Past(_) => return,
                 };
                 self.take_answer(era, answer);
@@ -100,8 +100,8 @@
         match answer {
             Answer::Read { items, at, known } => {
                 let read = StorePosition { era, revision: at };
-                let era = match self.era.place_read(read, known) {
-                    AnswerEra::Newest(era) | AnswerEra::Begun { era, .. } => era,
+                let era = match self.era.classify_read(read, known) {
+                    AnswerEra::Newest(era) | AnswerEra::New { era, .. } => era,
                     AnswerEra::Past(_) => return,
                 };
                 self.mirror.offer(Mirror::from_items(items, StorePosition { era, ..read }));
--- a/crates/cometmoor-gateway/tests/quarantine.rs
+++ b/crates/cometmoor-gateway/tests/quarantine.rs
@@ -6,7 +6,7 @@
 
 use std::net::SocketAddrV4;
 
-use cometmoor_core::gateway::quarantine::{CRASH_LIMIT, Fingerprint, Standing};
+use cometmoor_core::gateway::quarantine::{CRASH_LIMIT, Fingerprint, QuarantineStatus};
 use cometmoor_core::time::Timestamp;
 
 use world::{Link, World};
@@ -89,7 +89,7 @@
 
     fn may_be_sent(&mut self, node: SocketAddrV4, content: Fingerprint) -> bool {
         let now = Timestamp(self.world.now);
-        self.world.nodes[&node].quarantine.standing(content, now) == Standing::Free
+        self.world.nodes[&node].quarantine.status(content, now) == QuarantineStatus::Allowed
     }
 
     /// The deadly request comes at any node.
--- a/crates/cometmoor-gateway/tests/servers.rs
+++ b/crates/cometmoor-gateway/tests/servers.rs
@@ -4,17 +4,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cometmoor_core::gateway::registry::{HeldModel, ServerRecord, ServerState};
+use cometmoor_core::gateway::registry::{LoadedModel, ServerRecord, ServerState};
 use cometmoor_gateway::dialect::ModelName;
 use cometmoor_gateway::published::{PlacementView, Published};
 use cometmoor_gateway::servers::ServerTable;
 use cometmoor_gateway::signals::SignalBoard;
 
 fn record(models: &[&str]) -> ServerRecord {
-    let held = |name: &&str| HeldModel { name: (*name).to_owned(), adapters: Vec::new() };
+    let held = |name: &&str| LoadedModel { name: (*name).to_owned(), adapters: Vec::new() };
     ServerRecord {
         id: "i-1".into(),
-        born: None,
+        started_unix_ms: None,
         incarnation: "i-1".into(),
         service: "app".to_owned(),
         address: SocketAddrV4::new(Ipv4Addr::LOCALHOST, 9),
