--- a/crates/cometmoor-gateway/src/control/leader/mod.rs
+++ b/crates/cometmoor-gateway/src/control/leader/mod.rs
@@ -16,10 +16,11 @@
 use cometmoor_core::gateway::leadership::{
     CandidateContext, Leadership, LeadershipTiming, Predecessor,
 };
-use cometmoor_core::gateway::load_rate::LoadRate;
+use cometmoor_core::gateway::load_rate::LoadRateLimiter;
 use cometmoor_core::gateway::orders::{Action, NextStep, Weights};
 use cometmoor_core::gateway::planner::{
-    DEMAND_KNOWN, FleetDemand, ModelDemand, PlannedOrder, PlannedServer, ROUND, WITHDRAWAL, plan,
+    FleetDemand, MAX_PLAN_INTERVAL, MIN_DEMAND_HISTORY, ModelDemand, PlannedOrder, PlannedServer,
+    WITHDRAWAL_DELAY, plan,
 };
 use cometmoor_core::gateway::registry::{ServerRecord, ServerState};
 use cometmoor_core::gateway::store_position::StoreEra;
@@ -61,7 +62,7 @@
     engines: HashMap<Arc<str>, Engine>,
     withdrawals: Vec<Withdrawal>,
     announcements: Announcements,
-    load_rates: HashMap<String, LoadRate>,
+    load_rates: HashMap<String, LoadRateLimiter>,
     first_round: Option<Timestamp>,
     last_new_server: Option<Timestamp>,
 }
@@ -208,7 +209,7 @@
         loop {
             self.round().await;
             clock::sleep(SHORTEST_ROUND).await;
-            let _ = clock::timeout(ROUND, self.context.plan_wanted.notified()).await;
+            let _ = clock::timeout(MAX_PLAN_INTERVAL, self.context.plan_wanted.notified()).await;
         }
     }
 
@@ -277,8 +278,8 @@
         for (id, step, asked) in steps {
             let rested = asked.is_none_or(|asked| now.since(asked) >= REPORT_PAUSE);
             match step {
-                NextStep::AskForReport if rested => self.spawn_report(id),
-                NextStep::Repeat { order, expected_count } if rested => {
+                NextStep::RequestReport if rested => self.spawn_report(id),
+                NextStep::Resend { order, expected_count } if rested => {
                     if let Some(token) = token {
                         self.repeat_order(id, order, expected_count, token);
                     }
@@ -292,7 +293,7 @@
         let now = self.now();
         let mut due = Vec::new();
         self.state.borrow_mut().withdrawals.retain(|withdrawal| {
-            let over = now.since(withdrawal.since) >= WITHDRAWAL;
+            let over = now.since(withdrawal.since) >= WITHDRAWAL_DELAY;
             if over {
                 due.push((withdrawal.server.clone(), withdrawal.order.clone()));
             }
@@ -351,7 +352,13 @@
             {
                 engine.promised = None;
             }
-            self.first_order(planned.server, planned.order, expected_count, planned.takes, token);
+            self.first_order(
+                planned.server,
+                planned.order,
+                expected_count,
+                planned.expected_duration,
+                token,
+            );
         }
     }
 
@@ -383,18 +390,17 @@
         // What was ordered in earlier terms was ordered before this one began.
         let acquired = state.acquired;
         let first = self.predecessor.get() == Predecessor::Nobody;
-        let rate = state
-            .load_rates
-            .entry(service.to_owned())
-            .or_insert_with(|| LoadRate::new(profile.loads_per_second, window, acquired, first));
-        rate.left(now)
+        let rate = state.load_rates.entry(service.to_owned()).or_insert_with(|| {
+            LoadRateLimiter::new(profile.loads_per_second, window, acquired, first)
+        });
+        rate.available(now)
     }
 
     async fn demand(&self, profile: &EngineProfile) -> Option<FleetDemand> {
         let view = self.fleet.send(GetDemand).await.ok()?;
         let now = view.now;
-        let watched = view.first_demand.is_some_and(|first| now.since(first) >= DEMAND_KNOWN);
-        let mut demand = FleetDemand { is_known: watched, ..FleetDemand::default() };
+        let watched = view.first_demand.is_some_and(|first| now.since(first) >= MIN_DEMAND_HISTORY);
+        let mut demand = FleetDemand { has_enough_history: watched, ..FleetDemand::default() };
         for model in &profile.models {
             let key = model_key(&model.name, None);
             let asked = ModelDemand::new(
@@ -408,7 +414,7 @@
                 let key = model_key(&model.name, Some(&adapter));
                 let weights = Weights { model: model.name.clone(), adapter: Some(adapter) };
                 if view.waited_for.contains(&key) {
-                    demand.waited_for.insert(weights.clone());
+                    demand.awaited_adapters.insert(weights.clone());
                 }
                 demand.adapters.insert(weights, view.rates.requests(key, now));
             }
@@ -432,15 +438,15 @@
                 let (held, reserved) = believed_weights(engine);
                 PlannedServer {
                     id: id.clone(),
-                    idle: idle && !engine.calling && !withdrawing(id),
+                    is_idle: idle && !engine.calling && !withdrawing(id),
                     held,
                     reserved,
                     in_host_memory: engine.in_host_memory.clone(),
                     on_disk: engine.on_disk.clone(),
-                    fresh: fresh_models(engine, now),
-                    leaving: leaving_weights(engine, &state.withdrawals),
-                    loading_left: engine.ledger.time_left(now),
-                    promised: engine.promised.clone(),
+                    recently_loaded: fresh_models(engine, now),
+                    unloading: leaving_weights(engine, &state.withdrawals),
+                    load_time_left: engine.ledger.time_left(now),
+                    pending_load: engine.promised.clone(),
                 }
             })
             .collect();
@@ -459,7 +465,7 @@
     let action = format!("{:?}", planned.order.action);
     let model = &*planned.order.weights.model;
     let makes_room_for = planned.makes_room_for.as_deref().unwrap_or("-");
-    let takes_millis = planned.takes.as_millis() as u64;
+    let takes_millis = planned.expected_duration.as_millis() as u64;
     let from_store = planned.from_store;
     info!("[leader] a move is planned", kv: { server, action, model, makes_room_for, from_store, takes_millis, loads_left });
 }
--- a/crates/cometmoor-gateway/tests/quota_world/tenants.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/tenants.rs
@@ -21,7 +21,7 @@
 
 impl SimulatedTenant {
     pub fn new(name: usize, per_second: f64, sends: f64) -> SimulatedTenant {
-        let unit = QuotaUnit::Tokens { unnamed: 200 };
+        let unit = QuotaUnit::Tokens { default_tokens: 200 };
         let limit = TenantLimit { per_second, burst: per_second, unit };
         SimulatedTenant {
             key: QuotaKey::of(&format!("tenant-{name}")),
@@ -52,7 +52,7 @@
 impl Outcome {
     /// Most that ran in any window, against the most that may.
     pub fn worst_window(&self, limit: &TenantLimit) -> f64 {
-        self.most_in(BOUNDS.window) / BOUNDS.most(limit)
+        self.most_in(BOUNDS.window) / BOUNDS.max_usage(limit)
     }
 
     /// Most that ran in any span of a length.
--- a/crates/cometmoor-lab/src/emulator/placement.rs
+++ b/crates/cometmoor-lab/src/emulator/placement.rs
@@ -6,10 +6,10 @@
 
 use cometmoor_core::gateway::configuration::{EngineProfile, ModelProfile};
 use cometmoor_core::gateway::demand::DemandMeter;
-use cometmoor_core::gateway::load_rate::LoadRate;
+use cometmoor_core::gateway::load_rate::LoadRateLimiter;
 use cometmoor_core::gateway::orders::{Action, Weights};
 use cometmoor_core::gateway::planner::{
-    DEMAND_KNOWN, FleetDemand, ModelDemand, PlannedOrder, PlannedServer, SHORTEST_STAY, plan,
+    FleetDemand, MIN_DEMAND_HISTORY, MIN_RESIDENCY, ModelDemand, PlannedOrder, PlannedServer, plan,
 };
 use cometmoor_core::time::Timestamp;
 
@@ -69,7 +69,7 @@
     reading: DemandMeter<ModelIndex>,
     slots: DemandMeter<ModelIndex>,
     requests: DemandMeter<ModelIndex>,
-    load_rate: LoadRate,
+    load_rate: LoadRateLimiter,
     first_demand: Option<Timestamp>,
 }
 
@@ -88,9 +88,9 @@
             weights_megabytes: group.gigabytes * 1000.0,
             adapters: 0,
             adapter_megabytes: 0.0,
-            load: Duration::from_secs_f64(group.load_seconds),
-            load_from_disk: Duration::from_secs_f64(group.disk_seconds),
-            load_from_memory: Duration::from_secs_f64(group.memory_seconds),
+            store_load_time: Duration::from_secs_f64(group.load_seconds),
+            disk_load_time: Duration::from_secs_f64(group.disk_seconds),
+            memory_load_time: Duration::from_secs_f64(group.memory_seconds),
         }
     };
     EngineProfile {
@@ -100,9 +100,9 @@
         batch_slots: shape.slots as u32,
         cache_tokens: shape.cache_tokens,
         loads_per_second: shape.loads_per_second,
-        host_megabytes: shape.host_gigabytes * 1000.0,
-        disk_megabytes: shape.disk_gigabytes * 1000.0,
-        moves_runs: shape.moves_runs,
+        host_cache_megabytes: shape.host_gigabytes * 1000.0,
+        disk_cache_megabytes: shape.disk_gigabytes * 1000.0,
+        supports_run_migration: shape.moves_runs,
     }
 }
 
@@ -116,7 +116,7 @@
             reading: DemandMeter::default(),
             slots: DemandMeter::default(),
             requests: DemandMeter::default(),
-            load_rate: LoadRate::new(rate, LOAD_WINDOW, Timestamp(0), true),
+            load_rate: LoadRateLimiter::new(rate, LOAD_WINDOW, Timestamp(0), true),
             first_demand: None,
         }
     }
@@ -152,7 +152,7 @@
             .filter(|(_, engine)| engine.alive && engine.takes_work)
             .map(|(index, engine)| planned_server(index, engine, now))
             .collect();
-        let loads_left = self.load_rate.left(time);
+        let loads_left = self.load_rate.available(time);
         let orders = plan(&self.profile, &servers, &demand, loads_left);
         orders.iter().filter_map(|order| self.take_order(order, time)).collect()
     }
@@ -160,7 +160,7 @@
     fn take_order(&mut self, order: &PlannedOrder, now: Timestamp) -> Option<Move> {
         let engine = order.server.parse().ok()?;
         let model = self.model_index(&order.order.weights.model)?;
-        let PlannedOrder { takes, from_store, .. } = *order;
+        let PlannedOrder { expected_duration: takes, from_store, .. } = *order;
         if from_store {
             self.load_rate.record(now);
         }
@@ -179,7 +179,7 @@
     }
 
     fn observed(&self, now: Timestamp) -> FleetDemand {
-        let known = self.first_demand.is_some_and(|first| now.since(first) >= DEMAND_KNOWN);
+        let known = self.first_demand.is_some_and(|first| now.since(first) >= MIN_DEMAND_HISTORY);
         let batch = f64::from(self.profile.batch_slots);
         self.demand(known, |model| {
             let slots = self.slots.rate(model, now) / batch;
@@ -212,13 +212,13 @@
     fn demand(&self, is_known: bool, of: impl Fn(ModelIndex) -> ModelDemand) -> FleetDemand {
         let named = |model: ModelIndex| (model_name(model), of(model));
         let models = (0..self.profile.models.len()).map(named).collect();
-        FleetDemand { is_known, models, ..FleetDemand::default() }
+        FleetDemand { has_enough_history: is_known, models, ..FleetDemand::default() }
     }
 }
 
 /// Models that the server got lately.
 fn fresh_models(engine: &Engine, now: Micros) -> BTreeSet<String> {
-    let fresh = engine.loaded.iter().filter(|(_, loaded)| now - **loaded < micros(SHORTEST_STAY));
+    let fresh = engine.loaded.iter().filter(|(_, loaded)| now - **loaded < micros(MIN_RESIDENCY));
     fresh.map(|(model, _)| model_name(*model)).collect()
 }
 
@@ -229,14 +229,14 @@
     let left = engine.loading.map_or(0, |loading| (loading.ready - now).max(0));
     PlannedServer {
         id: index.to_string().into(),
-        idle: engine.leaving.is_none() && engine.loading.is_none(),
+        is_idle: engine.leaving.is_none() && engine.loading.is_none(),
         reserved: held.iter().cloned().chain(loading.map(weights)).collect(),
         held,
         in_host_memory: engine.in_host_memory.iter().map(|model| model_name(*model)).collect(),
         on_disk: engine.on_disk.iter().map(|model| model_name(*model)).collect(),
-        fresh: fresh_models(engine, now),
-        loading_left: Duration::from_micros(left as u64),
-        leaving: engine.leaving.map(weights),
-        promised: engine.promised.map(model_name),
+        recently_loaded: fresh_models(engine, now),
+        load_time_left: Duration::from_micros(left as u64),
+        unloading: engine.leaving.map(weights),
+        pending_load: engine.promised.map(model_name),
     }
 }
