--- a/crates/cometmoor-core/src/gateway/proof.rs
+++ b/crates/cometmoor-core/src/gateway/proof.rs
@@ -63,7 +63,7 @@
     }
 
     /// What a copy of this age is good for where keys are concerned.
-    pub fn key_knowledge(&self, age: Option<Duration>) -> KeyFreshness {
+    pub fn key_freshness(&self, age: Option<Duration>) -> KeyFreshness {
         let admits = match self.revoke {
             Some(bound) => age.is_some_and(|age| age < bound.mul_f64(ADMITS_FOR)),
             None => true,
--- a/crates/cometmoor-core/tests/gateway_proof.rs
+++ b/crates/cometmoor-core/tests/gateway_proof.rs
@@ -215,7 +215,7 @@
 
     fn check(&self) {
         for (place, node) in self.nodes.iter().enumerate().filter(|(_, node)| !node.is_frozen) {
-            let knowledge = self.limits.key_knowledge(self.age(place));
+            let knowledge = self.limits.key_freshness(self.age(place));
             let missed = self.changes.get(usize::try_from(node.version).unwrap()..).unwrap_or(&[]);
             let Some(first) = missed.first() else { continue };
             let since = self.now - first;
@@ -249,7 +249,7 @@
     for _ in 0..400 {
         world.turn();
         for node in 0..NODES {
-            let knowledge = world.limits.key_knowledge(world.age(node));
+            let knowledge = world.limits.key_freshness(world.age(node));
             assert!(knowledge.admits && knowledge.denies, "{:?}", world.age(node));
         }
     }
@@ -269,7 +269,7 @@
     (0..6_500 / TURN).for_each(|_| world.turn());
     world.apply(Step::Thaw { node: 3 });
     world.turn();
-    assert!(!world.limits.key_knowledge(world.age(3)).admits, "{:?}", world.age(3));
+    assert!(!world.limits.key_freshness(world.age(3)).admits, "{:?}", world.age(3));
 }
 
 /// With a store that is away for all, nobody admits keys longer than the bound, and all do
@@ -281,7 +281,7 @@
     (0..NODES).for_each(|node| world.apply(Step::Cut { node: node as u8 }));
     (0..REVOKE / TURN).for_each(|_| world.turn());
     let admits = |world: &World| {
-        (0..NODES).filter(|node| world.limits.key_knowledge(world.age(*node)).admits).count()
+        (0..NODES).filter(|node| world.limits.key_freshness(world.age(*node)).admits).count()
     };
     assert_eq!(admits(&world), 0);
     (0..NODES).for_each(|node| world.apply(Step::Join { node: node as u8 }));
--- a/crates/cometmoor-gateway/src/forward/tenant.rs
+++ b/crates/cometmoor-gateway/src/forward/tenant.rs
@@ -28,7 +28,7 @@
 /// Decides by the configuration in force whether a request of a route may run.
 pub fn access_to(fleet: &Published, route: &Route, facts: &RequestFacts) -> Access {
     let tenants = fleet.configuration.as_ref().and_then(|known| known.tenants.as_deref());
-    access(tenants, route, facts.key, fleet.key_knowledge())
+    access(tenants, route, facts.key, fleet.key_freshness())
 }
 
 impl Forward<'_> {
--- a/crates/cometmoor-gateway/src/published.rs
+++ b/crates/cometmoor-gateway/src/published.rs
@@ -104,8 +104,8 @@
     }
 
     /// What the configuration's keys are good for now.
-    pub fn key_knowledge(&self) -> KeyFreshness {
-        let knowledge = self.proof_limits.key_knowledge(self.proof_age());
+    pub fn key_freshness(&self) -> KeyFreshness {
+        let knowledge = self.proof_limits.key_freshness(self.proof_age());
         KeyFreshness { denies: knowledge.denies && !self.is_known_behind, ..knowledge }
     }
 
