--- a/crates/cometmoor-gateway/src/control/leader/engine.rs
+++ b/crates/cometmoor-gateway/src/control/leader/engine.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use cometmoor_core::gateway::orders::{Action, ServerLedger, ServerOrder, ServerReport, Weights};
-use cometmoor_core::gateway::planner::SHORTEST_STAY;
+use cometmoor_core::gateway::planner::MIN_RESIDENCY;
 use cometmoor_core::gateway::registry::ServerRecord;
 use cometmoor_core::time::Timestamp;
 
@@ -66,7 +66,7 @@
     /// Whether a report is known to be of an earlier or later life of the server than
     /// the entry tells of.
     pub(super) fn is_of_another_life(&self, report: &EngineReport) -> bool {
-        match (self.record.born, report.born) {
+        match (self.record.started_unix_ms, report.started_unix_ms) {
             (Some(known), Some(told)) => known != told,
             _ => false,
         }
@@ -75,7 +75,7 @@
     /// Takes in that the server reports another life. Where that is a later one, this
     /// one is over: it is ordered nothing more. A report of an earlier one is old.
     pub(super) fn note_other_life(&mut self, report: &EngineReport) {
-        self.replaced |= report.born > self.record.born;
+        self.replaced |= report.started_unix_ms > self.record.started_unix_ms;
     }
 
     /// Takes one of the places for adapters on their way, if there is one left.
@@ -133,7 +133,7 @@
 
 /// Models that the server got lately.
 pub(super) fn fresh_models(engine: &Engine, now: Timestamp) -> BTreeSet<String> {
-    let fresh = engine.loaded.iter().filter(|(_, loaded)| now.since(**loaded) < SHORTEST_STAY);
+    let fresh = engine.loaded.iter().filter(|(_, loaded)| now.since(**loaded) < MIN_RESIDENCY);
     fresh.map(|(model, _)| model.clone()).collect()
 }
 
