--- a/crates/cometmoor-core/src/gateway/admission.rs
+++ b/crates/cometmoor-core/src/gateway/admission.rs
@@ -52,7 +52,7 @@
 }
 
 /// Time that is allowed for each requested output token. Nearly all streams end within it: of
-/// 14,415 streams in seven simulated days, nine took longer (628 with 16 ms). The estimate is
+/// 14,415 streams in seven scenario runs, nine took longer (628 with 16 ms). The estimate is
 /// high on purpose: a refused client is served by another node a moment later, while a client
 /// whose stream is cut off loses its answer.
 const PER_OUTPUT_TOKEN: Duration = Duration::from_millis(60);
