--- a/crates/cometmoor-core/src/admission.rs
+++ b/crates/cometmoor-core/src/admission.rs
@@ -1,10 +1,10 @@
-//! Who is dispatched, who waits and who is shed, at one node.
+//! Dispatch, queueing and load shedding of requests at one node.
 //!
-//! Each engine has a number of slots at this node. A request takes a slot on
-//! one of the engines that can answer it, or waits in its model's queue. The
-//! queues are ordered by start-time fair queueing over the groups: a group
-//! that has used more than its entitlement stands further back, an idle group
-//! gains nothing for its idle time, and an unused share goes to the others.
+//! Each engine has a fixed number of slots at this node. A request takes a slot
+//! on an engine that can answer it, or waits in its model's queue. The queues
+//! are ordered by start-time fair queueing over the groups: a group that has
+//! used more than its entitlement is placed further back, an idle group accrues
+//! no credit, and capacity that one group leaves unused goes to the others.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -18,22 +18,23 @@
 use crate::routing::{CandidateLoad, EngineRoute, RouteTable, Selector};
 use crate::time::Timestamp;
 
-/// Bounds of the queues.
+/// Bounds on the queues and on the age of engine reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionLimits {
-    /// Requests that may wait for one model.
+    /// Maximum number of requests that wait for one model.
     pub waiting_per_model: usize,
-    /// Requests that may wait for one model from one group.
+    /// Maximum number of requests from one group that wait for one model.
     pub waiting_per_group: usize,
-    /// Age of an engine's report up to which it gets new requests. A node
-    /// that was paused knows nothing of what happened meanwhile.
+    /// Maximum age of an engine's report at which the engine still gets new
+    /// requests. After a pause of this node, its reports no longer tell what
+    /// the engines hold.
     pub max_report_age: Duration,
 }
 
 /// A request that asks for a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// What must answer.
+    /// Artifact that must answer.
     pub resolved: Resolved,
     /// Group of the caller.
     pub group: String,
@@ -41,77 +42,79 @@
     pub entitlement: u32,
     /// Expected work, in tokens.
     pub cost: u64,
-    /// When to give up waiting.
+    /// When the request is shed if it is still waiting.
     pub deadline: Timestamp,
     /// Engines that have refused this request already.
     pub excluded: BTreeSet<String>,
 }
 
-/// Names a waiting request.
+/// Identifies a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(u64);
 
-/// A slot on an engine, to be given back by [`Admission::release`].
+/// A slot on an engine, to be returned with [`Admission::release`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Slot {
     /// The engine.
     pub engine: Arc<EngineRoute>,
-    /// The artifact to ask it for.
+    /// The artifact to request from it.
     pub artifact: Artifact,
 }
 
-/// Why a request was not taken.
+/// Why a request was shed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShedReason {
-    /// The queue of the model, or the group's part of it, is full.
+    /// The queue of the model, or the group's share of it, is full.
     QueueFull,
-    /// It could not be dispatched before its deadline.
+    /// It cannot be, or was not, dispatched before its deadline.
     DeadlineTooClose,
-    /// No engine that is left can answer it.
+    /// Every engine that could answer it has refused it.
     NoEngine,
 }
 
-/// A request that is given up, with the time after which to come back.
+/// Reason why a request was shed, and when the caller may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shed {
-    /// Why.
+    /// Reason for shedding the request.
     pub reason: ShedReason,
-    /// Expected time until there is room.
+    /// Estimated time until a retry can be dispatched, 0.2 to 10 seconds.
     pub retry_after: Duration,
 }
 
-/// What becomes of an arriving request.
+/// Result of submitting a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Arrival {
     /// It has a slot.
     Dispatched(Slot),
-    /// It waits for [`Decision`]s about its ticket.
+    /// It is queued; a later [`Decision`] names its ticket.
     Waiting(Ticket),
-    /// It is given up.
+    /// It is shed.
     Shed(Shed),
 }
 
-/// What becomes of a waiting request.
+/// Outcome for a waiting request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// It has a slot.
     Dispatched(Ticket, Slot),
-    /// It is given up.
+    /// It is shed.
     Shed(Ticket, Shed),
 }
 
-/// Shortest and longest time a shed caller is asked to stay away.
+/// Shortest and longest retry delay that is returned to a shed caller.
 const RETRY_AFTER_RANGE: (Duration, Duration) =
     (Duration::from_millis(200), Duration::from_secs(10));
-/// Weight of the newest interval in a model's mean time between dispatches.
+/// Weight of the newest interval in the exponential moving average of the time
+/// between a model's dispatches.
 const INTERVAL_WEIGHT: f64 = 0.2;
 
 #[derive(Debug, Default)]
-struct EngineUse {
+struct EngineUsage {
     in_flight: u32,
     in_flight_at_report: u32,
     reported_at: Option<Timestamp>,
-    /// The engine has refused work as leaving since its newest report.
+    /// Whether the engine has refused a request because it is leaving, after
+    /// its newest report.
     refused_as_leaving: bool,
     breaker: CircuitBreaker,
 }
@@ -124,14 +127,14 @@
 
 #[derive(Debug, Default)]
 struct ModelQueue {
-    /// Tickets by start tag; the first is dispatched first.
+    /// Tickets in dispatch order, by start tag.
     order: BTreeSet<(u64, Ticket)>,
     last_dispatch: Option<Timestamp>,
     mean_interval_millis: Option<f64>,
 }
 
 impl ModelQueue {
-    fn note_dispatch(&mut self, now: Timestamp) {
+    fn record_dispatch(&mut self, now: Timestamp) {
         if let Some(last) = self.last_dispatch {
             let interval = now.since(last).as_secs_f64() * 1_000.0;
             let mean = self.mean_interval_millis.unwrap_or(interval);
@@ -152,13 +155,13 @@
     }
 }
 
-/// Slots, queues and the groups' accounts of one node.
+/// Slots, queues and fair-queueing state of one node.
 pub struct Admission<S> {
     limits: AdmissionLimits,
     zone: String,
     selector: S,
     routes: Arc<RouteTable>,
-    engines: HashMap<String, EngineUse>,
+    engines: HashMap<String, EngineUsage>,
     queues: BTreeMap<String, ModelQueue>,
     waiting: HashMap<Ticket, Waiting>,
     group_finish: HashMap<String, u64>,
@@ -166,12 +169,12 @@
     next_ticket: u64,
 }
 
-/// Resolution of the fair-queueing tags: cost in tokens is multiplied by this
-/// before it is divided by the entitlement.
+/// Resolution of the fair-queueing tags: a cost in tokens is multiplied by this
+/// factor before the integer division by the entitlement.
 const TAG_SCALE: u64 = 1024;
 
 impl<S: Selector> Admission<S> {
-    /// An empty node in a zone.
+    /// Creates the state of a node in `zone`, without routes.
     pub fn new(limits: AdmissionLimits, zone: &str, selector: S) -> Self {
         Admission {
             limits,
@@ -187,17 +190,18 @@
         }
     }
 
-    /// Requests that wait.
+    /// Number of requests that wait in the queues.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Requests of this node running at an engine.
+    /// Number of requests that this node has running on an engine.
     pub fn in_flight(&self, engine: &str) -> u32 {
-        self.engines.get(engine).map_or(0, |used| used.in_flight)
+        self.engines.get(engine).map_or(0, |usage| usage.in_flight)
     }
 
-    /// Takes new routes into use and dispatches what they make room for.
+    /// Replaces the routes and dispatches the waiting requests that now get a
+    /// slot.
     pub fn update_routes(
         &mut self,
         routes: Arc<RouteTable>,
@@ -205,21 +209,21 @@
         random: &mut dyn RngCore,
     ) -> Vec<Decision> {
         for engine in routes.engines() {
-            let used = self.engines.entry(engine.name.clone()).or_default();
-            if used.reported_at != Some(engine.reported_at) {
-                used.reported_at = Some(engine.reported_at);
-                used.in_flight_at_report = used.in_flight;
-                used.refused_as_leaving = false;
+            let usage = self.engines.entry(engine.name.clone()).or_default();
+            if usage.reported_at != Some(engine.reported_at) {
+                usage.reported_at = Some(engine.reported_at);
+                usage.in_flight_at_report = usage.in_flight;
+                usage.refused_as_leaving = false;
             }
         }
-        self.engines.retain(|name, used| used.in_flight > 0 || routes.engine(name).is_some());
+        self.engines.retain(|name, usage| usage.in_flight > 0 || routes.engine(name).is_some());
         self.routes = routes;
         let models: Vec<String> = self.queues.keys().cloned().collect();
         self.dispatch_waiting(models, now, random)
     }
 
-    /// Decides on a request. Decisions about other requests, which it may
-    /// displace, are returned beside.
+    /// Dispatches, queues or sheds a request. The second value holds the
+    /// outcomes of waiting requests that it displaced.
     pub fn submit(
         &mut self,
         request: AdmissionRequest,
@@ -228,18 +232,18 @@
     ) -> (Arrival, Vec<Decision>) {
         let model = request.resolved.artifact.model.clone();
         let queue_empty = self.queues.get(&model).is_none_or(|queue| queue.order.is_empty());
-        if queue_empty && let Some(slot) = self.take_slot(&request, now, random) {
+        if queue_empty && let Some(slot) = self.acquire_slot(&request, now, random) {
             self.charge(&request);
-            self.queues.entry(model).or_default().note_dispatch(now);
+            self.queues.entry(model).or_default().record_dispatch(now);
             return (Arrival::Dispatched(slot), Vec::new());
         }
-        if let Some(reason) = self.hopeless(&request, now) {
+        if let Some(reason) = self.shed_reason(&request, now) {
             return (Arrival::Shed(self.shed(&model, reason)), Vec::new());
         }
         self.enqueue(request)
     }
 
-    fn hopeless(&self, request: &AdmissionRequest, now: Timestamp) -> Option<ShedReason> {
+    fn shed_reason(&self, request: &AdmissionRequest, now: Timestamp) -> Option<ShedReason> {
         let (_, candidates) = self.routes.candidates(&request.resolved);
         let all_refused = candidates.iter().all(|engine| request.excluded.contains(&engine.name));
         if !candidates.is_empty() && all_refused {
@@ -250,8 +254,9 @@
         (now + wait >= request.deadline).then_some(ShedReason::DeadlineTooClose)
     }
 
-    /// Puts a request into its queue. In a full queue, the request that stands
-    /// furthest back, of the group furthest above its entitlement, is shed.
+    /// Appends a request to its model's queue. If the queue is full, the request
+    /// with the largest start tag, which may be the new one, is shed; its group is
+    /// the one furthest above its entitlement.
     fn enqueue(&mut self, request: AdmissionRequest) -> (Arrival, Vec<Decision>) {
         let model = request.resolved.artifact.model.clone();
         if self.waiting_of_group(&model, &request.group) >= self.limits.waiting_per_group {
@@ -281,37 +286,38 @@
         (Arrival::Waiting(ticket), displaced)
     }
 
-    /// Gives a slot back and dispatches who waits for it.
+    /// Returns a slot and dispatches waiting requests of the models that the
+    /// engine holds.
     pub fn release(
         &mut self,
         slot: &Slot,
         now: Timestamp,
         random: &mut dyn RngCore,
     ) -> Vec<Decision> {
-        if let Some(used) = self.engines.get_mut(&slot.engine.name) {
-            used.in_flight = used.in_flight.saturating_sub(1);
+        if let Some(usage) = self.engines.get_mut(&slot.engine.name) {
+            usage.in_flight = usage.in_flight.saturating_sub(1);
         }
         let ready = slot.engine.ready.iter();
         let models: BTreeSet<String> = ready.map(|artifact| artifact.model.clone()).collect();
         self.dispatch_waiting(models, now, random)
     }
 
-    /// Takes a request out of its queue, because its caller went away.
+    /// Removes a request from its queue because its caller disconnected.
     pub fn cancel(&mut self, ticket: Ticket) {
         self.remove(ticket);
     }
 
-    /// Gives up every waiting request whose deadline has come.
+    /// Sheds every waiting request whose deadline has passed.
     pub fn expire(&mut self, now: Timestamp) -> Vec<Decision> {
-        let mut late: Vec<Ticket> = self
+        let mut expired: Vec<Ticket> = self
             .waiting
             .iter()
             .filter(|(_, waiting)| waiting.request.deadline <= now)
             .map(|(ticket, _)| *ticket)
             .collect();
-        late.sort();
+        expired.sort();
         let mut decisions = Vec::new();
-        for ticket in late {
+        for ticket in expired {
             if let Some(waiting) = self.remove(ticket) {
                 let model = waiting.request.resolved.artifact.model;
                 let shed = self.shed(&model, ShedReason::DeadlineTooClose);
@@ -321,55 +327,56 @@
         decisions
     }
 
-    /// The circuit breaker of an engine, to note how an attempt ended.
+    /// Circuit breaker of an engine, for recording the result of an attempt.
     pub fn breaker(&mut self, engine: &str) -> &mut CircuitBreaker {
         &mut self.engines.entry(engine.to_owned()).or_default().breaker
     }
 
-    /// Notes that an engine refused a request because it is leaving; it gets
-    /// no more until a newer report says otherwise.
+    /// Records that an engine refused a request because it is leaving. It gets
+    /// no new requests until its next report.
     pub fn mark_leaving(&mut self, engine: &str) {
         self.engines.entry(engine.to_owned()).or_default().refused_as_leaving = true;
     }
 
-    fn take_slot(
+    fn acquire_slot(
         &mut self,
         request: &AdmissionRequest,
         now: Timestamp,
         random: &mut dyn RngCore,
     ) -> Option<Slot> {
         let (artifact, candidates) = self.routes.candidates(&request.resolved);
-        let open: Vec<&Arc<EngineRoute>> = candidates
+        let available: Vec<&Arc<EngineRoute>> = candidates
             .into_iter()
             .filter(|engine| !request.excluded.contains(&engine.name))
-            .filter(|engine| self.has_slot(engine, now))
+            .filter(|engine| self.has_free_slot(engine, now))
             .collect();
-        let loads: Vec<CandidateLoad> = open.iter().map(|engine| self.load(engine, now)).collect();
+        let loads: Vec<CandidateLoad> =
+            available.iter().map(|engine| self.load(engine, now)).collect();
         let chosen = self.selector.select(&loads, random)?;
-        let engine = open[chosen].clone();
-        let used = self.engines.entry(engine.name.clone()).or_default();
-        used.in_flight += 1;
-        used.breaker.record_attempt();
+        let engine = available[chosen].clone();
+        let usage = self.engines.entry(engine.name.clone()).or_default();
+        usage.in_flight += 1;
+        usage.breaker.record_attempt();
         Some(Slot { engine, artifact })
     }
 
-    fn has_slot(&self, engine: &EngineRoute, now: Timestamp) -> bool {
+    fn has_free_slot(&self, engine: &EngineRoute, now: Timestamp) -> bool {
         if now.since(engine.reported_at) > self.limits.max_report_age {
             return false;
         }
-        let used = self.engines.get(&engine.name);
-        used.is_none_or(|used| {
-            !used.refused_as_leaving
-                && used.in_flight < engine.node_limit
-                && used.breaker.allows(now)
+        let usage = self.engines.get(&engine.name);
+        usage.is_none_or(|usage| {
+            !usage.refused_as_leaving
+                && usage.in_flight < engine.node_limit
+                && usage.breaker.allows(now)
         })
     }
 
     fn load(&self, engine: &EngineRoute, now: Timestamp) -> CandidateLoad {
-        let used = self.engines.get(&engine.name);
-        let at_report = used.map_or(0, |used| used.in_flight_at_report);
+        let usage = self.engines.get(&engine.name);
+        let at_report = usage.map_or(0, |usage| usage.in_flight_at_report);
         CandidateLoad {
-            own_in_flight: used.map_or(0, |used| used.in_flight),
+            own_in_flight: usage.map_or(0, |usage| usage.in_flight),
             others_reported: engine.reported_load.saturating_sub(at_report),
             report_age: now.since(engine.reported_at),
             concurrency: engine.concurrency,
@@ -388,18 +395,18 @@
             heads.extend(self.head(&model));
         }
         let mut decisions = Vec::new();
-        // Among the models, too, the smallest tag goes first.
+        // The request with the smallest start tag goes first across models, too.
         while let Some((tag, ticket, model)) = heads.pop_first() {
             let Some(waiting) = self.waiting.get(&ticket) else {
                 continue;
             };
             let request = waiting.request.clone();
-            let Some(slot) = self.take_slot(&request, now, random) else {
+            let Some(slot) = self.acquire_slot(&request, now, random) else {
                 continue;
             };
             self.remove(ticket);
             self.virtual_time = self.virtual_time.max(tag);
-            self.queues.entry(model.clone()).or_default().note_dispatch(now);
+            self.queues.entry(model.clone()).or_default().record_dispatch(now);
             decisions.push(Decision::Dispatched(ticket, slot));
             heads.extend(self.head(&model));
         }
@@ -443,7 +450,8 @@
         let span = request.cost.saturating_mul(TAG_SCALE) / entitlement;
         self.group_finish.insert(request.group.clone(), start.saturating_add(span));
         if self.waiting.is_empty() {
-            // Nobody is passed over, so the group's use costs it nothing later.
+            // No request is waiting, so none is overtaken: this use does not count
+            // against the group later.
             self.virtual_time = self.virtual_time.max(start);
         }
     }
--- a/crates/cometmoor-core/src/catalog.rs
+++ b/crates/cometmoor-core/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The declared resources at one generation of the configuration.
+//! Declared resources at one generation of the configuration.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,31 +10,31 @@
 };
 use imbl::OrdMap;
 
-/// Names that are offered when an unknown one is asked for.
-const NEAR_NAMES: usize = 3;
-/// Least similarity, from 0 to 1, of an offered name.
-const NEAR_NAME_SIMILARITY: f64 = 0.7;
+/// Maximum number of names suggested for an unknown one.
+const MAX_SUGGESTIONS: usize = 3;
+/// Minimum Jaro-Winkler similarity, from 0 to 1, of a suggested name.
+const MIN_SUGGESTION_SIMILARITY: f64 = 0.7;
 
-/// A set of resources. It is a persistent map: a clone costs nothing, and a
-/// change to one shares all but a path of the map with the others.
+/// A set of resources, kept in a persistent map: cloning takes constant time,
+/// and a changed clone shares all but one path of the tree with the original.
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     resources: OrdMap<ResourceKey, Arc<Resource>>,
 }
 
-/// What a caller's model name stands for.
+/// The artifact that a caller's model name refers to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Resolved {
     /// The artifact to answer with.
     pub artifact: Artifact,
-    /// Whether an older version of the model may answer while this one is
-    /// not ready anywhere. False where the caller named the version.
+    /// Whether an older version of the model may answer while this one is not
+    /// ready on any engine. False if the caller named the version.
     pub any_version: bool,
 }
 
 macro_rules! typed_access {
     ($get:ident, $iterate:ident, $kind:ident, $spec:ty) => {
-        #[doc = concat!("The ", stringify!($kind), " of a name.")]
+        #[doc = concat!("The ", stringify!($kind), " with this name.")]
         pub fn $get(&self, name: &str) -> Option<&Object<$spec>> {
             match self.get(&ResourceKey { kind: Kind::$kind, name: name.to_owned() }) {
                 Some(Resource::$kind(object)) => Some(object),
@@ -60,7 +60,7 @@
     typed_access!(engine, engines, Engine, EngineSpec);
     typed_access!(service, services, Service, ServiceSpec);
 
-    /// A resource by kind and name.
+    /// Looks up a resource by kind and name.
     pub fn get(&self, key: &ResourceKey) -> Option<&Resource> {
         self.resources.get(key).map(Arc::as_ref)
     }
@@ -84,7 +84,7 @@
         self.resources.len()
     }
 
-    /// Whether nothing is declared.
+    /// Whether the catalog holds no resource.
     pub fn is_empty(&self) -> bool {
         self.resources.is_empty()
     }
@@ -94,13 +94,13 @@
         self.resources.insert(resource.key(), resource);
     }
 
-    /// Removes a resource, if it is there.
+    /// Removes a resource; does nothing if it does not exist.
     pub fn remove(&mut self, key: &ResourceKey) {
         self.resources.remove(key);
     }
 
-    /// Looks up a model name as callers write it: a model, `model@version`,
-    /// or an adapter.
+    /// Resolves a model name as callers write it: a model, `model@version` or an
+    /// adapter. None if it names nothing that is declared.
     pub fn resolve(&self, name: &str) -> Option<Resolved> {
         if let Some(model) = self.model(name) {
             let artifact = base_artifact(name, &model.spec.version);
@@ -124,13 +124,13 @@
         Some(Resolved { artifact: base_artifact(model, version), any_version: false })
     }
 
-    /// Whether a ModelVersion declares this version of a model.
+    /// Whether a `ModelVersion` resource declares this version of a model.
     pub fn declares_version(&self, model: &str, version: &str) -> bool {
         self.model_versions()
             .any(|object| object.spec.model == model && object.spec.version == version)
     }
 
-    /// The names that callers may use as a model.
+    /// All names that callers may use as a model.
     pub fn callable_names(&self) -> BTreeSet<String> {
         let models = self.models().map(|model| model.metadata.name.clone());
         let adapters = self.adapters().map(|adapter| adapter.metadata.name.clone());
@@ -140,16 +140,16 @@
         models.chain(adapters).chain(versions).collect()
     }
 
-    /// The callable names most like an unknown one, best first.
+    /// Up to three callable names that resemble an unknown one, best match first.
     pub fn near_names(&self, unknown: &str) -> Vec<String> {
         let mut scored: Vec<(f64, String)> = self
             .callable_names()
             .into_iter()
             .map(|name| (strsim::jaro_winkler(&name, unknown), name))
-            .filter(|(similarity, _)| *similarity >= NEAR_NAME_SIMILARITY)
+            .filter(|(similarity, _)| *similarity >= MIN_SUGGESTION_SIMILARITY)
             .collect();
         scored.sort_by(|left, right| right.0.total_cmp(&left.0));
-        scored.into_iter().take(NEAR_NAMES).map(|(_, name)| name).collect()
+        scored.into_iter().take(MAX_SUGGESTIONS).map(|(_, name)| name).collect()
     }
 }
 
@@ -163,7 +163,7 @@
     }
 }
 
-/// The artifact of a model version without an adapter.
+/// Artifact of a model version without an adapter.
 pub fn base_artifact(model: &str, version: &str) -> Artifact {
     Artifact { model: model.to_owned(), version: version.to_owned(), adapter: None }
 }
--- a/crates/cometmoor-core/src/configuration.rs
+++ b/crates/cometmoor-core/src/configuration.rs
@@ -1,8 +1,8 @@
-//! The configuration in force at a node, and how it moves forward.
+//! The current configuration of a node and its updates.
 //!
-//! Every accepted change raises the generation by one. A node takes updates
-//! from the store, from relays and from any peer, in any order and repeatedly;
-//! [`Configuration::apply`] lets the generation only rise.
+//! Every accepted change raises the generation by one. A node receives updates
+//! from the store, from relays and from any peer, in any order and possibly more
+//! than once; [`Configuration::apply`] never lowers the generation.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,72 +11,72 @@
 
 use crate::catalog::Catalog;
 
-/// Changes kept for peers that lag behind. A peer that lags further gets the
-/// whole configuration.
+/// Number of changes kept for peers that lag behind. A peer that lags further
+/// gets the whole configuration.
 pub const CHANGE_LOG_CAPACITY: usize = 1024;
 
 /// One accepted change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// Generation that the change made.
+    /// Generation that the change produced.
     pub generation: u64,
-    /// Resource that was written or deleted.
+    /// Key of the resource that was written or deleted.
     pub key: ResourceKey,
-    /// The resource as written; none when it was deleted.
+    /// The resource as written; none if it was deleted.
     pub resource: Option<Arc<Resource>>,
 }
 
-/// An offer of newer state.
+/// Newer configuration state offered to a node.
 #[derive(Clone, Debug)]
 pub enum Update {
-    /// The changes that lead from `base` onwards, one for each generation.
+    /// The changes that follow generation `base`, one for each generation.
     Changes {
         /// Generation before the first change.
         base: u64,
-        /// Changes without gaps, oldest first.
+        /// Changes of consecutive generations, oldest first.
         changes: Vec<Change>,
     },
-    /// The whole configuration.
+    /// The whole configuration at one generation.
     Full {
-        /// Its generation.
+        /// Generation of the configuration.
         generation: u64,
-        /// Its resources.
+        /// All resources at that generation.
         resources: Vec<Arc<Resource>>,
     },
 }
 
-/// What became of an offered update.
+/// Result of applying an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// The generation rose.
+    /// The update was applied and the generation rose.
     Advanced,
-    /// The update held nothing newer and was dropped.
+    /// The update contained nothing newer and was ignored.
     NothingNew,
-    /// The changes start after the generation in force, or have a gap: pull
-    /// again from the generation in force.
+    /// The changes start after the current generation or skip one. Pull again
+    /// from the current generation.
     Gap,
 }
 
-/// The configuration in force.
+/// The current configuration with a log of its newest changes.
 #[derive(Clone, Debug, Default)]
 pub struct Configuration {
     generation: u64,
     catalog: Arc<Catalog>,
-    log: VecDeque<Change>,
+    change_log: VecDeque<Change>,
 }
 
 impl Configuration {
-    /// Number of changes that this configuration contains.
+    /// Number of changes that led to this configuration.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// The resources.
+    /// The resources at the current generation.
     pub fn catalog(&self) -> &Arc<Catalog> {
         &self.catalog
     }
 
-    /// Takes an update in if it is newer, and never goes back.
+    /// Applies an update if it is newer; the generation never decreases.
     pub fn apply(&mut self, update: Update) -> Applied {
         match update {
             Update::Full { generation, resources } => self.apply_full(generation, resources),
@@ -90,8 +90,8 @@
         }
         self.generation = generation;
         self.catalog = Arc::new(resources.into_iter().collect());
-        // The log must lead without gaps up to the generation in force.
-        self.log.clear();
+        // The log must reach the current generation without gaps.
+        self.change_log.clear();
         Applied::Advanced
     }
 
@@ -122,23 +122,25 @@
             None => catalog.remove(&change.key),
         }
         self.generation = change.generation;
-        self.log.push_back(change);
-        if self.log.len() > CHANGE_LOG_CAPACITY {
-            self.log.pop_front();
+        self.change_log.push_back(change);
+        if self.change_log.len() > CHANGE_LOG_CAPACITY {
+            self.change_log.pop_front();
         }
     }
 
-    /// What a peer at `generation` needs; none when it lacks nothing.
+    /// The update that brings a peer from `generation` to the current one; none
+    /// if the peer is up to date.
     pub fn update_since(&self, generation: u64) -> Option<Update> {
         if generation >= self.generation {
             return None;
         }
         let missing = usize::try_from(self.generation - generation).unwrap_or(usize::MAX);
-        if missing > self.log.len() {
+        if missing > self.change_log.len() {
             let resources = self.catalog.iter().cloned().collect();
             return Some(Update::Full { generation: self.generation, resources });
         }
-        let changes = self.log.iter().skip(self.log.len() - missing).cloned().collect();
+        let changes =
+            self.change_log.iter().skip(self.change_log.len() - missing).cloned().collect();
         Some(Update::Changes { base: generation, changes })
     }
 }
--- a/crates/cometmoor-core/src/homes.rs
+++ b/crates/cometmoor-core/src/homes.rs
@@ -1,21 +1,23 @@
-//! Which nodes a model's callers are sent to.
+//! Assignment of models to home nodes, to which their callers are directed.
 //!
-//! Each model has a small set of home nodes, chosen by rendezvous hashing, so
-//! that only they need its fresh load and in-flight counts, and so that a
-//! node's arrival or death moves only its own share. See `docs/CAPACITY.md`.
+//! Each model has a small set of home nodes, chosen by rendezvous hashing. Only
+//! these need current load and in-flight counts of the model, and a node that
+//! joins or fails moves only its own share of the models. See
+//! `docs/CAPACITY.md`.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A node that can be a home.
+/// A node that can be a home node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HomeCandidate {
     /// Name of the node.
     pub name: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
 }
 
-/// The home nodes of a model, best first: every zone once before any twice.
+/// Up to `count` home nodes of a model, highest rank first. The best node of each
+/// zone comes before the second of any zone.
 pub fn home_nodes<'a>(
     model: &str,
     nodes: &'a [HomeCandidate],
@@ -25,15 +27,15 @@
         nodes.iter().map(|node| (rank(model, &node.name), node)).collect();
     ranked.sort_by(|left, right| right.0.cmp(&left.0).then_with(|| left.1.name.cmp(&right.1.name)));
     let mut homes: Vec<&HomeCandidate> = Vec::new();
-    let mut passed_over = Vec::new();
+    let mut same_zone = Vec::new();
     for (_, node) in ranked {
         if homes.iter().any(|home| home.zone == node.zone) {
-            passed_over.push(node);
+            same_zone.push(node);
         } else {
             homes.push(node);
         }
     }
-    homes.extend(passed_over);
+    homes.extend(same_zone);
     homes.truncate(count);
     homes
 }
--- a/crates/cometmoor-core/src/idempotency.rs
+++ b/crates/cometmoor-core/src/idempotency.rs
@@ -1,30 +1,30 @@
-//! Keeps requests that must not be repeated from running twice.
+//! Idempotency keys: a request that must not be repeated runs at most once.
 //!
 //! A caller gets a key prefix from the directory. The prefix names the node
 //! that issued it, the incarnation of that node's process, and an expiry on
-//! that incarnation's own clock. Only that incarnation ever runs a request
-//! under the prefix, so no two nodes have to agree and no store write is
-//! needed. A node that is asked with another's key passes the request on, or
-//! answers that the outcome is unknown; it never runs it.
+//! that incarnation's own clock. Only that incarnation runs requests under the
+//! prefix, unless it hands its closed table over, so nodes need no agreement and
+//! no store write. A node that receives a request with another node's key
+//! forwards it or answers that the outcome is unknown; it never runs it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use crate::time::Timestamp;
 
-/// Marks the format of the keys.
+/// Version of the key format, the first part of every key.
 const KEY_FORMAT: &str = "cm1";
-/// Parts of a prefix, separated by [`SEPARATOR`].
+/// Number of parts in a prefix, separated by [`SEPARATOR`].
 const PREFIX_PARTS: usize = 5;
-/// Separates the parts of a key; it does not occur in names of nodes.
+/// Separator between the parts of a key; node names must not contain it.
 const SEPARATOR: char = '/';
-/// Longest key, in bytes.
+/// Maximum length of a key, in bytes.
 pub const MAX_KEY_BYTES: usize = 256;
 
-/// The part of a key that the directory handed out.
+/// The part of a key that the directory issued.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyPrefix {
-    /// Name of the system, so that a key of another one is recognised.
+    /// Name of the system, by which keys of other systems are recognized.
     pub system: String,
     /// Node that issued the prefix.
     pub node: String,
@@ -34,10 +34,10 @@
     pub expires_at: Timestamp,
 }
 
-/// Why a key was not understood. No request with such a key is run.
+/// Why a key is invalid. No request with such a key is run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyError {
-    /// The key does not have the form of a prefix and a caller's part.
+    /// The key is not a prefix followed by a non-empty caller's part.
     Malformed,
     /// The key was issued by another system.
     ForeignSystem,
@@ -54,7 +54,7 @@
 }
 
 impl KeyPrefix {
-    /// Reads the prefix of a whole key.
+    /// Parses the prefix of a whole key.
     pub fn from_key(key: &str, system: &str) -> Result<KeyPrefix, KeyError> {
         if key.len() > MAX_KEY_BYTES {
             return Err(KeyError::TooLong);
@@ -69,17 +69,17 @@
         if key_system != system {
             return Err(KeyError::ForeignSystem);
         }
-        let hexadecimal = |text| u64::from_str_radix(text, 16).map_err(|_| KeyError::Malformed);
+        let parse_hex = |text| u64::from_str_radix(text, 16).map_err(|_| KeyError::Malformed);
         Ok(KeyPrefix {
             system: system.to_owned(),
             node: node.to_owned(),
-            incarnation: hexadecimal(incarnation)?,
-            expires_at: Timestamp(hexadecimal(expiry)?),
+            incarnation: parse_hex(incarnation)?,
+            expires_at: Timestamp(parse_hex(expiry)?),
         })
     }
 }
 
-/// A finished answer, kept to be given again.
+/// A complete answer, stored for replay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoredAnswer {
     /// HTTP status.
@@ -90,7 +90,7 @@
     pub body: Vec<u8>,
 }
 
-/// What is known of a key.
+/// State of a key's run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Run {
     Running,
@@ -115,70 +115,71 @@
     pub expires_at: Timestamp,
     /// Fingerprint of the request.
     pub fingerprint: u64,
-    /// The answer; none when the outcome is unknown.
+    /// The answer; none if the outcome is unknown.
     pub answer: Option<StoredAnswer>,
 }
 
-/// How a request with a key goes on.
+/// How to proceed with a request that has a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BeginOutcome {
-    /// Run it, and report the end by [`IdempotencyTable::finish`].
+    /// Run it and report its outcome with [`IdempotencyTable::finish`].
     Run,
-    /// It is running: wait for its end.
+    /// It is already running; wait for the outcome.
     AlreadyRunning,
-    /// It has run: this is its answer.
+    /// It has run; this is the stored answer.
     Replay(StoredAnswer),
-    /// It may have run; what came of it is not known.
+    /// It may have run; its outcome is unknown.
     Unknown,
-    /// The prefix has expired. `certainly_not_run` tells whether the table
-    /// still covers the time in which the key could have been used.
+    /// The prefix has expired, or its expiry is beyond what this table issues.
     Expired {
-        /// Whether no request under this key was ever run.
+        /// Whether no request under this key was ever run. False if the table
+        /// may already have removed the key, so that a run cannot be ruled out.
         certainly_not_run: bool,
     },
-    /// The key was used before with another request.
+    /// The key was used before with a different request.
     DifferentRequest,
-    /// There is no room to remember another key.
+    /// The table has no room for another key.
     Full,
-    /// The table was handed over; nothing new runs here.
+    /// The table is closed for a handover; no new request runs here.
     Closed,
 }
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It ran to its end.
+    /// It ran to completion.
     Complete(StoredAnswer),
-    /// No part of it was run; the key may be used again.
+    /// No part of it ran; the key may be used again.
     NotRun,
     /// It may have run.
     Unknown,
 }
 
-/// Bounds of a table.
+/// Limits of an idempotency table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdempotencyLimits {
-    /// How long a prefix can be used after it was issued.
+    /// How long a prefix is valid after it was issued.
     pub key_lifetime: Duration,
-    /// Keys that are remembered at the same time.
+    /// Maximum number of keys stored at the same time.
     pub max_entries: usize,
-    /// Bytes of all answers that are remembered.
+    /// Total size of the stored answers, in bytes, at which the table accepts no
+    /// new key.
     pub max_bytes: usize,
 }
 
-/// The keys of one incarnation of one node.
+/// The keys issued by one incarnation of one node.
 #[derive(Clone, Debug)]
 pub struct IdempotencyTable {
     limits: IdempotencyLimits,
     entries: BTreeMap<String, Entry>,
-    /// Keys by expiry, oldest first, to be forgotten.
+    /// Keys with their removal times, in the order in which they were added.
     expiries: VecDeque<(Timestamp, String)>,
     bytes: usize,
     closed: bool,
 }
 
 impl IdempotencyTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(limits: IdempotencyLimits) -> IdempotencyTable {
         IdempotencyTable {
             limits,
@@ -189,9 +190,9 @@
         }
     }
 
-    /// The table of an issuer that stopped and closed it, with its finished
-    /// keys. The new holder is the only one that runs the keys from now on.
-    /// All times are on the issuer's clock.
+    /// Takes over the table that an issuer closed before it stopped, with its
+    /// finished keys. From then on only the new holder runs requests under
+    /// these keys. All times are on the issuer's clock.
     pub fn adopt(limits: IdempotencyLimits, finished: Vec<FinishedKey>) -> IdempotencyTable {
         let mut table = IdempotencyTable::new(limits);
         for key in finished {
@@ -205,27 +206,27 @@
         let bytes = answer.as_ref().map_or(0, |answer| answer.body.len());
         let run = answer.map_or(Run::Unknown, Run::Complete);
         self.bytes += bytes;
-        self.expiries.push_back((self.forget_at(expires_at), key.clone()));
+        self.expiries.push_back((self.remove_at(expires_at), key.clone()));
         self.entries.insert(key, Entry { fingerprint, expires_at, run, bytes });
     }
 
-    /// Number of keys remembered.
+    /// Number of stored keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether the table holds no key.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Expiry of a prefix that is issued now.
+    /// Expiry of a prefix issued at `now`.
     pub fn expiry(&self, now: Timestamp) -> Timestamp {
         now + self.limits.key_lifetime
     }
 
-    /// Decides on a request. `fingerprint` tells different requests apart that
-    /// were given the same key by mistake.
+    /// Decides whether a request runs. `fingerprint` detects a different request
+    /// that was given the same key by mistake.
     pub fn begin(
         &mut self,
         key: &str,
@@ -233,16 +234,16 @@
         fingerprint: u64,
         now: Timestamp,
     ) -> BeginOutcome {
-        self.forget_expired(now);
+        self.remove_expired(now);
         if let Some(entry) = self.entries.get(key) {
-            return begin_again(entry, fingerprint);
+            return repeat_outcome(entry, fingerprint);
         }
         if now >= expires_at {
-            let certainly_not_run = now < self.forget_at(expires_at);
+            let certainly_not_run = now < self.remove_at(expires_at);
             return BeginOutcome::Expired { certainly_not_run };
         }
-        // An expiry that this table cannot have issued would have to be
-        // remembered for longer than the bounds foresee.
+        // This table cannot have issued such an expiry, and would have to store
+        // the key for longer than two key lifetimes.
         if expires_at > self.expiry(now) {
             return BeginOutcome::Expired { certainly_not_run: true };
         }
@@ -254,22 +255,22 @@
         }
         let entry = Entry { fingerprint, expires_at, run: Run::Running, bytes: 0 };
         self.entries.insert(key.to_owned(), entry);
-        self.expiries.push_back((self.forget_at(expires_at), key.to_owned()));
+        self.expiries.push_back((self.remove_at(expires_at), key.to_owned()));
         BeginOutcome::Run
     }
 
-    /// An expired key stays known for a second lifetime, so that its last
-    /// users still get a certain answer.
-    fn forget_at(&self, expires_at: Timestamp) -> Timestamp {
+    /// When a key is removed. An expired key is kept for a second lifetime, so
+    /// that late retries still get a definite answer.
+    fn remove_at(&self, expires_at: Timestamp) -> Timestamp {
         expires_at + self.limits.key_lifetime
     }
 
-    /// Notes how the run of a key ended.
-    pub fn finish(&mut self, key: &str, finish: RunOutcome) {
+    /// Records the outcome of a key's run.
+    pub fn finish(&mut self, key: &str, outcome: RunOutcome) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
-        match finish {
+        match outcome {
             RunOutcome::NotRun => {
                 self.entries.remove(key);
             }
@@ -282,24 +283,24 @@
         }
     }
 
-    /// Stops new runs for good, before the table is handed over.
+    /// Permanently rejects new runs, before the table is handed over.
     pub fn close(&mut self) {
         self.closed = true;
     }
 
-    /// Whether a run has not ended.
+    /// Whether any run is still in progress.
     pub fn has_running(&self) -> bool {
         self.entries.values().any(|entry| entry.run == Run::Running)
     }
 
-    /// The keys whose runs have ended, to be handed over.
+    /// Keys whose runs have ended, for the handover.
     pub fn finished(&self) -> Vec<FinishedKey> {
         self.entries.iter().filter_map(|(key, entry)| finished_key(key, entry)).collect()
     }
 
-    fn forget_expired(&mut self, now: Timestamp) {
-        while let Some((forget_at, _)) = self.expiries.front() {
-            if *forget_at > now {
+    fn remove_expired(&mut self, now: Timestamp) {
+        while let Some((remove_at, _)) = self.expiries.front() {
+            if *remove_at > now {
                 return;
             }
             if let Some((_, key)) = self.expiries.pop_front()
@@ -311,7 +312,7 @@
     }
 }
 
-fn begin_again(entry: &Entry, fingerprint: u64) -> BeginOutcome {
+fn repeat_outcome(entry: &Entry, fingerprint: u64) -> BeginOutcome {
     if entry.fingerprint != fingerprint {
         return BeginOutcome::DifferentRequest;
     }
--- a/crates/cometmoor-core/src/ledger.rs
+++ b/crates/cometmoor-core/src/ledger.rs
@@ -1,10 +1,10 @@
-//! The memory of one engine, as far as orders can still change it.
+//! Conservative accounting of one engine's memory while orders are in flight.
 //!
-//! An order without an answer may have taken effect, or may do so later. A
-//! load counts from the moment it is sent, an unload only once a report that
-//! is newer than the order shows the memory free. On engines that check
-//! fences, a report settles every order up to its fence: those that are not
-//! visible in it will never take effect.
+//! An order without an answer may have taken effect, or may do so later. A load
+//! therefore counts from the moment it is sent, and an unload only once a report
+//! newer than the order shows the memory as free. On engines that check fences,
+//! a report settles every order up to its fence: an order whose effect it does
+//! not show will never take effect.
 
 use std::collections::BTreeMap;
 
@@ -13,23 +13,23 @@
 /// Why an order may not be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LedgerError {
-    /// The load does not fit into the memory that is surely free.
+    /// The load does not fit into the memory that is certainly free.
     Overcommit {
         /// Memory the load needs, in bytes.
         needed_bytes: u64,
-        /// Memory that is surely free, in bytes.
+        /// Memory that is certainly free, in bytes.
         free_bytes: u64,
     },
-    /// The fence of the order is not above all earlier ones.
+    /// The fence of the order is not higher than all earlier ones.
     StaleFence,
-    /// The engine has not reported since it was (re)started.
+    /// The ledger has not received any report of the engine.
     NoInventory,
-    /// The engine's newest report does not show the fence of this epoch, so
-    /// orders of an earlier epoch may still take effect unseen.
+    /// The engine's newest report shows a fence of another epoch, so orders of
+    /// an earlier epoch may still take effect after it.
     FenceNotRaised,
 }
 
-/// Memory account of an engine that checks fences.
+/// Memory ledger of an engine that checks fences.
 #[derive(Clone, Debug)]
 pub struct EngineLedger {
     capacity_bytes: u64,
@@ -41,7 +41,8 @@
 }
 
 impl EngineLedger {
-    /// An account of `capacity_bytes` usable bytes, closed until a report.
+    /// Creates a ledger for `capacity_bytes` usable bytes. It refuses orders until
+    /// the first report.
     pub fn new(capacity_bytes: u64) -> EngineLedger {
         EngineLedger {
             capacity_bytes,
@@ -53,12 +54,12 @@
         }
     }
 
-    /// Usable bytes. A smaller capacity stops loads and unloads nothing.
+    /// Sets the usable bytes. A lower capacity prevents loads but unloads nothing.
     pub fn set_capacity(&mut self, capacity_bytes: u64) {
         self.capacity_bytes = capacity_bytes;
     }
 
-    /// Incarnation of the engine at its newest report.
+    /// Incarnation of the engine in its newest report; none before the first.
     pub fn incarnation(&self) -> Option<u64> {
         self.incarnation
     }
@@ -68,9 +69,9 @@
         total(&self.committed())
     }
 
-    /// The most that each artifact may come to occupy, in bytes: what the
-    /// report says, or an open load with another size, which takes effect if
-    /// an unload comes before it.
+    /// Upper bound of the memory that each artifact may occupy, in bytes: the
+    /// size in the report, or that of a larger open load, which takes effect if
+    /// an unload precedes it.
     fn committed(&self) -> BTreeMap<&Artifact, u64> {
         let mut committed: BTreeMap<&Artifact, u64> =
             self.resident.iter().map(|(artifact, bytes)| (artifact, *bytes)).collect();
@@ -80,12 +81,12 @@
         committed
     }
 
-    /// Memory that is surely free, in bytes.
+    /// Memory that is certainly free, in bytes.
     pub fn free_bytes(&self) -> u64 {
         self.capacity_bytes.saturating_sub(self.committed_bytes())
     }
 
-    /// Artifacts with an open order.
+    /// Artifacts with an open order, whose effect is not known yet.
     pub fn artifacts_in_doubt(&self) -> impl Iterator<Item = &Artifact> {
         self.open_orders.values().map(OrderAction::artifact)
     }
@@ -95,7 +96,7 @@
         !self.open_orders.is_empty()
     }
 
-    /// Enters an order before it is sent. It must not be sent on an error.
+    /// Records an order before it is sent. On an error the order must not be sent.
     pub fn record_order(&mut self, fence: Fence, action: OrderAction) -> Result<(), LedgerError> {
         if self.incarnation.is_none() {
             return Err(LedgerError::NoInventory);
@@ -121,20 +122,21 @@
         Ok(())
     }
 
-    /// Notes a raised fence that the engine has confirmed or may confirm.
+    /// Records a fence that was sent to the engine, whether or not it confirmed it.
     pub fn record_fence(&mut self, fence: Fence) {
         self.highest_sent = self.highest_sent.max(fence);
     }
 
-    /// Takes a report in. Older reports of the same incarnation are dropped.
+    /// Applies a report of the engine. A report of the same incarnation with an
+    /// older fence is ignored.
     pub fn apply_report(&mut self, report: &Inventory) {
         let same = self.incarnation == Some(report.incarnation);
         if same && report.fence < self.reported_fence {
             return;
         }
         if !same {
-            // Orders name the incarnation they are meant for, so none that was
-            // sent before the restart takes effect any more.
+            // Orders name the incarnation they are meant for, so an order sent
+            // before the restart no longer takes effect.
             self.incarnation = Some(report.incarnation);
             self.open_orders.clear();
         }
--- a/crates/cometmoor-core/src/placement.rs
+++ b/crates/cometmoor-core/src/placement.rs
@@ -1,8 +1,8 @@
-//! Which model versions should sit on which engines.
+//! Placement of model versions on engines.
 //!
-//! A plan is a value: it is compared with what the engines hold and turned
-//! into orders by [`crate::reconcile`]. Admission of a resource runs the same
-//! code on an empty fleet, so that what is accepted can be placed.
+//! A plan is plain data: [`crate::reconcile`] compares it with what the engines
+//! hold and derives orders. Validation of a resource runs the same code on an
+//! empty fleet, so that everything that is accepted can be placed.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -16,11 +16,11 @@
 pub struct Requirement {
     /// The model version.
     pub base: Artifact,
-    /// Weights and cache need, in bytes.
+    /// Memory for weights and cache, in bytes.
     pub base_bytes: u64,
     /// Adapters with their sizes in bytes; each replica holds all of them.
     pub adapters: BTreeMap<Artifact, u64>,
-    /// Replicas to keep.
+    /// Number of replicas to keep.
     pub replicas: u32,
 }
 
@@ -40,12 +40,12 @@
     pub zone: String,
     /// Memory that artifacts may occupy, in bytes.
     pub usable_bytes: u64,
-    /// What it holds already, with sizes in bytes.
+    /// Artifacts that it holds already, with their sizes in bytes.
     pub held: BTreeMap<Artifact, u64>,
 }
 
 impl EngineCapacity {
-    /// An engine that holds nothing.
+    /// Creates the capacity of an engine that holds no artifact.
     pub fn empty(name: &str, spec: &EngineSpec) -> EngineCapacity {
         EngineCapacity {
             name: name.to_owned(),
@@ -63,20 +63,20 @@
     pub base: Artifact,
     /// Memory that the replica needs, in bytes.
     pub needed_bytes: u64,
-    /// Most memory that was left on an engine without a replica, in bytes.
+    /// Largest free memory of any engine without a replica of it, in bytes.
     pub largest_free_bytes: u64,
 }
 
-/// Desired content of the engines.
+/// Desired contents of the engines.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// Artifacts with their sizes in bytes, for each engine by name.
+    /// Artifacts with their sizes in bytes, by engine name.
     pub assignments: BTreeMap<String, BTreeMap<Artifact, u64>>,
-    /// Replicas that found no place.
+    /// Replicas that could not be placed.
     pub shortages: Vec<Shortage>,
 }
 
-/// What the declared resources ask to be resident.
+/// Requirements of the declared resources.
 pub fn requirements(catalog: &Catalog) -> Vec<Requirement> {
     let mut requirements = Vec::new();
     for model in catalog.models() {
@@ -113,24 +113,25 @@
         .collect()
 }
 
-/// How the engine of a new replica is chosen.
+/// How the engine for a new replica is chosen.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Fit {
-    /// The engine with the most room: spreads load.
+    /// Worst fit, the engine with the most free memory: spreads load.
     MostFree,
-    /// The engine with the least sufficient room: wastes least.
+    /// Best fit, the engine with the least sufficient free memory: least
+    /// fragmentation.
     LeastFree,
 }
 
-/// Plans the fleet: keeps what is in place, spreads replicas over zones, and
-/// repacks only where keeping everything leaves a shortage. The last tries
-/// ignore what the engines hold, as admission does, so that whatever was
-/// admitted has a plan.
+/// Plans the placement on all engines. It keeps replicas where they are, spreads
+/// new ones over zones, and repacks only if keeping everything leaves a shortage.
+/// The last passes ignore what the engines hold, as validation does, so that
+/// everything that was accepted has a plan.
 pub fn plan(requirements: &[Requirement], engines: &[EngineCapacity]) -> Plan {
     let empty =
         |engine: &EngineCapacity| EngineCapacity { held: BTreeMap::new(), ..engine.clone() };
     let emptied: Vec<EngineCapacity> = engines.iter().map(empty).collect();
-    let tries = [
+    let passes = [
         (engines, true, Fit::MostFree),
         (engines, true, Fit::LeastFree),
         (engines, false, Fit::LeastFree),
@@ -138,7 +139,7 @@
         (&emptied, false, Fit::LeastFree),
     ];
     let mut best: Option<Plan> = None;
-    for (engines, keep, fit) in tries {
+    for (engines, keep, fit) in passes {
         let plan = Packing::new(engines).pack(requirements, keep, fit);
         if plan.shortages.is_empty() {
             return plan;
@@ -153,14 +154,14 @@
 /// State of one packing pass.
 struct Packing<'a> {
     engines: &'a [EngineCapacity],
-    /// Memory not assigned yet, for each engine.
+    /// Unassigned memory of each engine, in bytes.
     free_bytes: Vec<u64>,
-    /// Memory of what each engine holds and is to give up. It may stay
-    /// occupied until a replacement is ready elsewhere.
-    outgoing_bytes: Vec<u64>,
-    /// Engines that hold a model version already.
+    /// Memory of the artifacts that each engine holds and is to unload, in bytes.
+    /// It may stay occupied until a replacement is ready on another engine.
+    unload_bytes: Vec<u64>,
+    /// Engines that already hold a model version.
     holders: HashMap<&'a Artifact, Vec<usize>>,
-    /// Engines that a model version is assigned to.
+    /// Engines to which a model version is assigned.
     hosts: HashMap<Artifact, Vec<usize>>,
     plan: Plan,
 }
@@ -176,7 +177,7 @@
         Packing {
             engines,
             free_bytes: engines.iter().map(|engine| engine.usable_bytes).collect(),
-            outgoing_bytes: engines.iter().map(|engine| engine.held.values().sum()).collect(),
+            unload_bytes: engines.iter().map(|engine| engine.held.values().sum()).collect(),
             holders,
             hosts: HashMap::new(),
             plan: Plan::default(),
@@ -197,7 +198,7 @@
         self.plan
     }
 
-    /// Leaves replicas where they are, up to the number required.
+    /// Keeps replicas where they are, up to the required number.
     fn keep_held(&mut self, requirement: &Requirement) {
         let holders = self.holders.get(&requirement.base).cloned().unwrap_or_default();
         for index in holders {
@@ -210,7 +211,8 @@
         }
     }
 
-    /// First replicas of every model come before second ones of any.
+    /// Places missing replicas: the first of every model version before the second
+    /// of any.
     fn place_missing(&mut self, order: &[&Requirement], fit: Fit) {
         let rounds = order.iter().map(|requirement| requirement.replicas).max().unwrap_or(0);
         for round in 1..=rounds {
@@ -227,20 +229,20 @@
         let hosts = self.hosts.get(&requirement.base).cloned().unwrap_or_default();
         let zones: BTreeSet<&str> =
             hosts.iter().map(|host| self.engines[*host].zone.as_str()).collect();
-        let open = (0..self.engines.len()).filter(|index| !hosts.contains(index));
-        let chosen = open
+        let candidates = (0..self.engines.len()).filter(|index| !hosts.contains(index));
+        let chosen = candidates
             .clone()
             .filter(|index| self.free_bytes[*index] >= needed_bytes)
             .min_by_key(|index| {
                 let free = self.free_bytes[*index];
                 let room = if fit == Fit::MostFree { u64::MAX - free } else { free };
-                let must_wait = free < needed_bytes.saturating_add(self.outgoing_bytes[*index]);
-                (must_wait, zones.contains(self.engines[*index].zone.as_str()), room)
+                let needs_unload = free < needed_bytes.saturating_add(self.unload_bytes[*index]);
+                (needs_unload, zones.contains(self.engines[*index].zone.as_str()), room)
             });
         match chosen {
             Some(index) => self.assign(index, requirement),
             None => {
-                let largest = open.map(|index| self.free_bytes[index]).max();
+                let largest = candidates.map(|index| self.free_bytes[index]).max();
                 self.plan.shortages.push(Shortage {
                     base: requirement.base.clone(),
                     needed_bytes,
@@ -258,7 +260,7 @@
         let base = std::iter::once((&requirement.base, &requirement.base_bytes));
         for (artifact, bytes) in base.chain(&requirement.adapters) {
             let held_bytes = engine.held.get(artifact).copied().unwrap_or(0);
-            self.outgoing_bytes[index] = self.outgoing_bytes[index].saturating_sub(held_bytes);
+            self.unload_bytes[index] = self.unload_bytes[index].saturating_sub(held_bytes);
             content.insert(artifact.clone(), *bytes);
         }
     }
--- a/crates/cometmoor-core/src/reconcile.rs
+++ b/crates/cometmoor-core/src/reconcile.rs
@@ -1,8 +1,9 @@
-//! Turns the difference between a plan and the engines' content into orders.
+//! Derives orders from the difference between a plan and the engines' contents.
 //!
-//! An unload never takes the last ready copy of a model that is still
-//! declared: first the new place or version becomes ready, then the old one
-//! goes. Where there is no room for both, replicas are exchanged one by one.
+//! An unload never removes the last ready copy of a model that is still declared:
+//! the old copy is unloaded only after the copy on the new engine or of the new
+//! version is ready. If there is no room for both, replicas are replaced one by
+//! one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,12 +11,12 @@
 
 use crate::placement::{Plan, Requirement};
 
-/// An engine as far as the next orders depend on it.
+/// State of an engine that determines its next orders.
 #[derive(Clone, Debug)]
 pub struct EngineState {
-    /// The newest report.
+    /// The newest report of the engine.
     pub inventory: Inventory,
-    /// Memory that is surely free, in bytes.
+    /// Memory that is certainly free, in bytes.
     pub free_bytes: u64,
     /// Artifacts with an order whose effect is not known yet.
     pub in_doubt: BTreeSet<Artifact>,
@@ -54,18 +55,18 @@
 pub struct EngineOrder {
     /// Name of the engine.
     pub engine: String,
-    /// What to do.
+    /// The load or unload to send.
     pub action: OrderAction,
 }
 
-/// The orders that may be sent now, at most one for each artifact and engine.
+/// The orders that may be sent now, at most one for each artifact on each engine.
 pub fn next_orders(
     plan: &Plan,
     requirements: &[Requirement],
     engines: &BTreeMap<String, EngineState>,
 ) -> Vec<EngineOrder> {
     let mut orders = loads(plan, engines);
-    orders.extend(Unloads::new(plan, requirements, engines).collect());
+    orders.extend(UnloadPlanner::new(plan, requirements, engines).collect());
     orders
 }
 
@@ -76,7 +77,7 @@
             continue;
         };
         let mut free_bytes = state.free_bytes;
-        // Artifacts sort with the base before its adapters.
+        // In the order of artifacts, a base comes before its adapters.
         for (artifact, bytes) in content {
             let pending = state.holds(artifact) || state.in_doubt.contains(artifact);
             let base_missing = artifact.adapter.is_some() && !state.holds(&artifact.base());
@@ -91,27 +92,27 @@
     orders
 }
 
-/// Works out the unloads, counting the ready copies that remain.
-struct Unloads<'a> {
+/// Plans the unloads while counting the ready copies that remain.
+struct UnloadPlanner<'a> {
     plan: &'a Plan,
     engines: &'a BTreeMap<String, EngineState>,
     required: BTreeMap<&'a Artifact, &'a Requirement>,
     /// Ready copies of any version, by model.
     ready_of_model: BTreeMap<&'a str, u32>,
-    /// Those among them that also have all adapters which their version needs.
+    /// Those of them that also have all adapters required for their version.
     complete_of_model: BTreeMap<&'a str, u32>,
     /// Ready copies with all their adapters, by version.
     complete_of_base: BTreeMap<&'a Artifact, u32>,
     orders: Vec<EngineOrder>,
 }
 
-impl<'a> Unloads<'a> {
+impl<'a> UnloadPlanner<'a> {
     fn new(
         plan: &'a Plan,
         requirements: &'a [Requirement],
         engines: &'a BTreeMap<String, EngineState>,
     ) -> Self {
-        let mut unloads = Unloads {
+        let mut planner = UnloadPlanner {
             plan,
             engines,
             required: requirements.iter().map(|r| (&r.base, r)).collect(),
@@ -122,13 +123,13 @@
         };
         for state in engines.values().filter(|state| !state.inventory.leaving) {
             for base in state.ready_bases() {
-                let complete = u32::from(unloads.is_complete(state, base));
-                *unloads.ready_of_model.entry(&base.model).or_insert(0) += 1;
-                *unloads.complete_of_model.entry(&base.model).or_insert(0) += complete;
-                *unloads.complete_of_base.entry(base).or_insert(0) += complete;
+                let complete = u32::from(planner.is_complete(state, base));
+                *planner.ready_of_model.entry(&base.model).or_insert(0) += 1;
+                *planner.complete_of_model.entry(&base.model).or_insert(0) += complete;
+                *planner.complete_of_base.entry(base).or_insert(0) += complete;
             }
         }
-        unloads
+        planner
     }
 
     fn is_complete(&self, state: &EngineState, base: &Artifact) -> bool {
@@ -144,10 +145,10 @@
                     continue;
                 }
                 if artifact.adapter.is_none() {
-                    self.consider_base(name, state, artifact);
+                    self.try_unload_base(name, state, artifact);
                 } else if self.is_planned(name, &artifact.base()) || !state.holds(&artifact.base())
                 {
-                    // Its base stays, or is gone already.
+                    // The base stays or has been unloaded already.
                     self.order(name, state, artifact);
                 }
             }
@@ -155,8 +156,8 @@
         self.orders
     }
 
-    /// Unloads a base, its adapters first.
-    fn consider_base(&mut self, engine: &str, state: &'a EngineState, base: &'a Artifact) {
+    /// UnloadPlanner a base after its adapters, if enough ready copies remain.
+    fn try_unload_base(&mut self, engine: &str, state: &'a EngineState, base: &'a Artifact) {
         let ready = !state.inventory.leaving && state.is_ready(base);
         if !self.may_unload(engine, base, ready) {
             return;
@@ -197,15 +198,16 @@
             self.engines.get(engine).is_some_and(|state| self.is_complete(state, base));
         let others = count(&self.ready_of_model, model) - 1;
         let others_complete = count(&self.complete_of_model, model) - u32::from(own_complete);
-        // Where room is needed, a copy without all its adapters has to do.
-        let needed = self.needed_for_room(engine);
-        (others_complete > 0 && (needed || self.successors_ready(base, own_complete)))
-            || (others > 0 && needed)
+        // If another artifact needs the memory, a remaining copy without all its
+        // adapters is sufficient.
+        let memory_needed = self.needs_memory(engine);
+        (others_complete > 0 && (memory_needed || self.replicas_ready_without(base, own_complete)))
+            || (others > 0 && memory_needed)
     }
 
-    /// Whether every required version of the model has all its replicas ready
-    /// without this copy.
-    fn successors_ready(&self, base: &Artifact, own_complete: bool) -> bool {
+    /// Whether every required version of the model has all its replicas ready,
+    /// not counting this copy.
+    fn replicas_ready_without(&self, base: &Artifact, own_complete: bool) -> bool {
         self.required.values().filter(|required| required.base.model == base.model).all(
             |required| {
                 let ready = self.complete_of_base.get(&required.base).copied().unwrap_or(0);
@@ -215,8 +217,8 @@
         )
     }
 
-    /// Whether a planned artifact waits for room on the engine.
-    fn needed_for_room(&self, engine: &str) -> bool {
+    /// Whether a planned artifact does not fit into the engine's free memory.
+    fn needs_memory(&self, engine: &str) -> bool {
         let (Some(state), Some(content)) =
             (self.engines.get(engine), self.plan.assignments.get(engine))
         else {
--- a/crates/cometmoor-core/src/stream.rs
+++ b/crates/cometmoor-core/src/stream.rs
@@ -1,47 +1,47 @@
-//! Puts the parts of an engine's answer in order.
+//! Reassembles the chunks of an engine's streamed answer.
 
 use std::collections::BTreeMap;
 
 use cometmoor_protocol::engine::CompletionChunk;
 
-/// Parts that may wait for a missing one.
+/// Maximum number of chunks buffered while an earlier one is missing.
 pub const MAX_OUT_OF_ORDER: usize = 256;
 
-/// Why an answer cannot be put together.
+/// Why an answer cannot be reassembled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamError {
-    /// Too many parts wait for a missing one.
+    /// More than [`MAX_OUT_OF_ORDER`] chunks are buffered.
     TooManyOutOfOrder,
-    /// A part lies behind the one that ended the answer.
+    /// A chunk follows the one that ended the answer.
     PartAfterEnd,
 }
 
-/// Restores the order of parts that arrive late, twice or out of order.
+/// Restores the order of chunks that arrive late, twice or out of order.
 #[derive(Debug, Default)]
 pub struct Reassembler {
     next_index: u64,
-    waiting: BTreeMap<u64, CompletionChunk>,
+    buffered: BTreeMap<u64, CompletionChunk>,
     complete: bool,
 }
 
 impl Reassembler {
-    /// Starts with the part of index `next_index`.
+    /// Creates a reassembler whose first chunk has index `next_index`.
     pub fn starting_at(next_index: u64) -> Reassembler {
         Reassembler { next_index, ..Reassembler::default() }
     }
 
-    /// Index of the first part that is still missing; a resumed stream starts
-    /// there.
+    /// Index of the first missing chunk, from which a stream is resumed.
     pub fn next_index(&self) -> u64 {
         self.next_index
     }
 
-    /// Whether the last part, and so the whole answer, has been passed on.
+    /// Whether the last chunk, and so the whole answer, has been returned.
     pub fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Takes a part and returns those that can be passed on now, in order.
+    /// Adds a chunk and returns the chunks that are now in order. A chunk that was
+    /// returned before is ignored.
     pub fn push(&mut self, chunk: CompletionChunk) -> Result<Vec<CompletionChunk>, StreamError> {
         if chunk.index < self.next_index {
             return Ok(Vec::new());
@@ -49,9 +49,9 @@
         if self.complete {
             return Err(StreamError::PartAfterEnd);
         }
-        self.waiting.entry(chunk.index).or_insert(chunk);
+        self.buffered.entry(chunk.index).or_insert(chunk);
         let ready = self.take_ready()?;
-        if self.waiting.len() > MAX_OUT_OF_ORDER {
+        if self.buffered.len() > MAX_OUT_OF_ORDER {
             return Err(StreamError::TooManyOutOfOrder);
         }
         Ok(ready)
@@ -59,7 +59,7 @@
 
     fn take_ready(&mut self) -> Result<Vec<CompletionChunk>, StreamError> {
         let mut ready = Vec::new();
-        while let Some(chunk) = self.waiting.remove(&self.next_index) {
+        while let Some(chunk) = self.buffered.remove(&self.next_index) {
             if self.complete {
                 return Err(StreamError::PartAfterEnd);
             }
@@ -70,10 +70,10 @@
         Ok(ready)
     }
 
-    /// Drops the parts that wait, before the stream is resumed at the first
-    /// missing part.
+    /// Drops the buffered chunks before the stream is resumed, and returns the
+    /// index of the first missing chunk.
     pub fn resume(&mut self) -> u64 {
-        self.waiting.clear();
+        self.buffered.clear();
         self.next_index
     }
 }
--- a/crates/cometmoor-core/src/unfenced.rs
+++ b/crates/cometmoor-core/src/unfenced.rs
@@ -1,23 +1,29 @@
-//! Orders to engines that do not check who gives them.
+//! Orders to engines that do not check fences.
 //!
-//! Such an engine applies whatever arrives, however late, so a late order must
-//! be harmless by itself. The record of an engine's orders lies in the
-//! configuration store and is changed by compare-and-swap before anything is
-//! sent: one order is open at a time, it is repeated until an answer arrives,
-//! and only then is the next one written. A load of which a copy may still be
-//! on its way keeps its memory set aside until the engine restarts, because
-//! only a restart ends the connections that could carry it. A load that
-//! another, perhaps paused, planner may yet send survives even that: its memory
-//! stays aside until that planner's process is known to have ended. A load that
-//! was answered may still be delivered once more: its memory stays aside, also
-//! after an unload, until the planner's clock says that no duplicate can come.
+//! Such an engine applies every order that arrives, however late, so a late order
+//! must be harmless. The record of an engine's orders is kept in the configuration
+//! store and is changed by compare-and-swap before anything is sent: one order is
+//! open at a time, it is repeated until an answer arrives, and only then is the
+//! next one written.
+//!
+//! Memory stays reserved for a load as long as it may still take effect:
+//!
+//! - A load of which a copy may be in transit keeps its memory reserved until the
+//!   engine restarts, because only a restart ends the connections that could
+//!   carry it.
+//! - A load that another planner, perhaps a paused one, may still send keeps its
+//!   memory reserved also across restarts, until that planner's process is known to
+//!   have ended.
+//! - An answered load may be delivered again. Its memory stays reserved, also
+//!   after an unload, until the planner's clock shows that no duplicate can
+//!   arrive any more.
 
 use std::collections::BTreeMap;
 
 use cometmoor_protocol::engine::{Artifact, OrderAction};
 use serde::{Deserialize, Serialize};
 
-/// The process of a planner.
+/// Identifies the process of a planner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlannerId {
     /// Name of the node.
@@ -26,34 +32,34 @@
     pub incarnation: u64,
 }
 
-/// An order that is not known to be done.
+/// An order that is not known to have been carried out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenOrder {
-    /// What was ordered.
+    /// The ordered load or unload.
     pub action: OrderAction,
     /// The planner that wrote the order.
     pub planner: PlannerId,
-    /// Whether a copy of it may have been sent without an answer.
+    /// Whether a copy may have been sent that was not answered.
     pub unanswered_copies: bool,
 }
 
-/// A load of which a copy may arrive at any time.
+/// A load of which a copy may still arrive at any time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LateLoad {
     /// The artifact.
     pub artifact: Artifact,
-    /// Memory it would occupy, in bytes.
+    /// Memory that it would occupy, in bytes.
     pub bytes: u64,
-    /// The planner that may still send it; none when only copies that were
-    /// sent already can arrive.
+    /// The planner that may still send it; none if only copies that were already
+    /// sent can arrive.
     pub planner: Option<PlannerId>,
-    /// Whether a restart of the engine was seen since the last copy was sent.
-    /// A copy may have been sent to the engine that the restart brought up
-    /// before the restart was noticed, so only the second one ends it.
+    /// Whether a restart of the engine was observed since the last copy was sent.
+    /// A copy may have been sent to the restarted engine before the restart was
+    /// noticed, so only the second restart rules out its arrival.
     pub survived_restart: bool,
 }
 
-/// A load that was answered and of which a duplicate may yet be delivered.
+/// An answered load of which a duplicate may still be delivered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnsweredLoad {
     /// The artifact.
@@ -65,35 +71,35 @@
 /// Record of one engine's orders, as kept in the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRecord {
-    /// Incarnation of the engine that the record is about.
+    /// Incarnation of the engine to which the record applies.
     pub incarnation: u64,
-    /// The open order.
+    /// The open order, if any.
     pub open: Option<OpenOrder>,
-    /// Loads that keep memory set aside.
+    /// Loads for which memory stays reserved because a copy may still arrive.
     pub late_loads: Vec<LateLoad>,
-    /// Answered loads of which a duplicate may be delivered.
+    /// Answered loads of which a duplicate may still be delivered.
     #[serde(default)]
     pub answered_loads: Vec<AnsweredLoad>,
 }
 
-/// Why no order may be written.
+/// Why an order may not be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordError {
-    /// An order is open: repeat it first.
+    /// An order is open and must be repeated first.
     OrderOpen,
-    /// The load does not fit into the memory that is surely free.
+    /// The load does not fit into the memory that is certainly free.
     Overcommit {
         /// Memory the load needs, in bytes.
         needed_bytes: u64,
-        /// Memory that is surely free, in bytes.
+        /// Memory that is certainly free, in bytes.
         free_bytes: u64,
     },
 }
 
 impl OrderRecord {
-    /// The record after a report of the engine to planner `reader`. Copies
-    /// on their way to an earlier incarnation are gone, but other planners
-    /// may yet send theirs to the new one.
+    /// The record after planner `reader` has received a report of the engine.
+    /// Copies in transit to an earlier incarnation are lost, but other planners
+    /// may still send theirs to the new one.
     pub fn at_incarnation(&self, incarnation: u64, reader: &PlannerId) -> OrderRecord {
         if self.incarnation == incarnation {
             return self.clone();
@@ -107,15 +113,15 @@
         }
         match self.open.clone() {
             Some(open) if open.planner != *reader => {
-                next.keep_aside(open.action, Some(open.planner), false);
+                next.reserve_load(open.action, Some(open.planner), false);
             }
-            Some(open) if open.unanswered_copies => next.keep_aside(open.action, None, true),
+            Some(open) if open.unanswered_copies => next.reserve_load(open.action, None, true),
             _ => {}
         }
         next
     }
 
-    /// The record after some planners' processes are known to have ended:
+    /// The record once the processes of some planners are known to have ended:
     /// only copies that they sent before can still arrive.
     pub fn release_planners(&self, ended: impl Fn(&PlannerId) -> bool) -> OrderRecord {
         let mut next = self.clone();
@@ -125,14 +131,15 @@
         next
     }
 
-    /// The record after some answered loads can no longer be delivered again.
-    pub fn drop_answered_loads(&self, over: impl Fn(&Artifact) -> bool) -> OrderRecord {
+    /// The record once no duplicate of some answered loads can be delivered any
+    /// more.
+    pub fn drop_answered_loads(&self, no_duplicates: impl Fn(&Artifact) -> bool) -> OrderRecord {
         let mut next = self.clone();
-        next.answered_loads.retain(|load| !over(&load.artifact));
+        next.answered_loads.retain(|load| !no_duplicates(&load.artifact));
         next
     }
 
-    fn note_answered(&mut self, action: OrderAction) {
+    fn add_answered(&mut self, action: OrderAction) {
         let OrderAction::Load { artifact, bytes } = action else {
             return;
         };
@@ -140,18 +147,19 @@
         self.answered_loads.push(AnsweredLoad { artifact, bytes });
     }
 
-    /// The record after planner `reader` has found another's order open, to be
-    /// stored before it repeats the order: from then on either may send it.
+    /// The record after planner `reader` has found another planner's order open.
+    /// It is to be stored before `reader` repeats the order, because from then on
+    /// either planner may send it.
     pub fn adopt_open_order(&self, reader: &PlannerId) -> OrderRecord {
         let mut next = self.clone();
         if let Some(open) = next.open.clone().filter(|open| open.planner != *reader) {
-            next.keep_aside(open.action.clone(), Some(open.planner.clone()), false);
+            next.reserve_load(open.action.clone(), Some(open.planner.clone()), false);
             next.open = Some(OpenOrder { planner: reader.clone(), ..open });
         }
         next
     }
 
-    fn keep_aside(
+    fn reserve_load(
         &mut self,
         action: OrderAction,
         planner: Option<PlannerId>,
@@ -174,8 +182,8 @@
         }
     }
 
-    /// Memory that is or may become occupied, in bytes. An artifact counts
-    /// with the largest size in which it may be loaded.
+    /// Memory that is or may become occupied, in bytes. Each artifact counts with
+    /// the largest size with which it may be loaded.
     pub fn committed_bytes(&self, resident: &BTreeMap<Artifact, u64>) -> u64 {
         let mut committed = resident.clone();
         let mut count = |artifact: &Artifact, bytes: u64| {
@@ -194,7 +202,8 @@
         committed.values().fold(0, |sum, bytes| sum.saturating_add(*bytes))
     }
 
-    /// The record with a new open order; it is to be stored before a send.
+    /// The record with a new open order. It is to be stored before the order is
+    /// sent.
     pub fn open_order(
         &self,
         action: OrderAction,
@@ -221,25 +230,25 @@
         Ok(next)
     }
 
-    /// The record after an answer to the open order. `certain` is false when
-    /// a copy of the order may still be on its way. A load that another
-    /// planner wrote may yet be sent by it.
+    /// The record after an answer to the open order. `certain` is false if a copy
+    /// of the order may still be in transit. A load that another planner wrote
+    /// may still be sent by that planner.
     pub fn close_order(&self, reader: &PlannerId, certain: bool) -> OrderRecord {
         let mut next = self.clone();
         let Some(open) = next.open.take() else {
             return next;
         };
         if open.planner != *reader {
-            next.keep_aside(open.action, Some(open.planner), false);
+            next.reserve_load(open.action, Some(open.planner), false);
         } else if !certain || open.unanswered_copies {
-            next.keep_aside(open.action, None, false);
+            next.reserve_load(open.action, None, false);
         } else {
-            next.note_answered(open.action);
+            next.add_answered(open.action);
         }
         next
     }
 
-    /// The record after an attempt that was not answered.
+    /// The record after an attempt that got no answer.
     pub fn mark_unanswered(&self) -> OrderRecord {
         let mut next = self.clone();
         if let Some(open) = &mut next.open {
--- a/crates/cometmoor-core/src/validation.rs
+++ b/crates/cometmoor-core/src/validation.rs
@@ -1,8 +1,8 @@
-//! Checks of a change before it is written.
+//! Validation of a change before it is written.
 //!
-//! They run on the catalog of the generation that the write is compared with,
-//! so two changes that fit each alone cannot both be written if they do not
-//! fit together.
+//! The checks run on the catalog of the generation against which the write is
+//! compared. Two concurrent changes that are valid alone but not together can
+//! therefore not both be written.
 
 use std::net::SocketAddr;
 
@@ -14,38 +14,38 @@
 use crate::catalog::Catalog;
 use crate::placement::{EngineCapacity, Requirement, Shortage, plan, requirements};
 
-/// Longest name of a resource.
+/// Maximum length of a resource name, in bytes.
 pub const MAX_NAME_BYTES: usize = 63;
-/// Most replicas that one model may ask for.
+/// Maximum number of replicas of one model version.
 pub const MAX_REPLICAS: u32 = 256;
-/// Hexadecimal digits of a SHA-256.
+/// Number of hexadecimal digits of a SHA-256 hash.
 const KEY_HASH_DIGITS: usize = 64;
 
-/// Why a change is refused.
+/// Why a change is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// A field holds a value that cannot be.
+    /// A field has an invalid value.
     InvalidField {
         /// Path of the field.
         field: &'static str,
-        /// What is wrong with it.
+        /// Requirement that the value does not meet.
         problem: String,
     },
-    /// A resource that is referred to does not exist.
+    /// A referenced resource does not exist.
     DanglingReference {
         /// Path of the field.
         field: &'static str,
-        /// What it names.
+        /// The missing resource, as kind and name.
         missing: String,
     },
-    /// The name is taken where callers look models up.
+    /// Callers already use the name for another model, version or adapter.
     NameTaken {
-        /// The resource that has it.
+        /// The resource that has the name.
         by: String,
     },
-    /// Other resources refer to the one that is to be deleted.
+    /// Other resources refer to the one to be deleted.
     StillReferenced {
-        /// One of them.
+        /// One of the referring resources.
         by: ResourceKey,
     },
     /// No engine is large enough for one replica.
@@ -55,28 +55,28 @@
         /// Usable memory of the largest engine, in bytes.
         largest_engine_bytes: u64,
     },
-    /// The declared replicas do not all fit.
+    /// Not all declared replicas fit on the engines.
     DoesNotFit {
-        /// The replica that found no place.
+        /// Model version of the first replica that could not be placed.
         model: String,
-        /// Memory that it needs, in bytes.
+        /// Memory that this replica needs, in bytes.
         needed_bytes: u64,
-        /// Most memory left on an engine, in bytes.
+        /// Largest free memory of an engine, in bytes.
         largest_free_bytes: u64,
-        /// Replicas that found no place.
+        /// Number of replicas that could not be placed.
         replicas_missing: usize,
     },
-    /// A new version needs room beside the old one until it is ready.
+    /// There is no room to load a new version beside the old one.
     NoRoomForVersionChange {
         /// Memory that the new version needs, in bytes.
         needed_bytes: u64,
-        /// Most memory left on an engine beside the old one, in bytes.
+        /// Largest free memory of an engine beside the old version, in bytes.
         largest_free_bytes: u64,
     },
 }
 
 impl Rejection {
-    /// Whether the declaration is well formed but the fleet too small for it.
+    /// Whether the change is well formed but the engines lack memory for it.
     pub fn is_infeasible(&self) -> bool {
         matches!(
             self,
@@ -116,7 +116,8 @@
     }
 }
 
-/// Checks that a resource may be created or replaced.
+/// Checks that a resource may be created or replaced. Returns every problem of
+/// its fields, or else the first that concerns the fit on the engines.
 pub fn check_put(catalog: &Catalog, resource: &Resource) -> Result<(), Vec<Rejection>> {
     let mut rejections = check_name(&resource.metadata().name);
     rejections.extend(match resource {
@@ -133,7 +134,7 @@
         return Err(rejections);
     }
     if let Some(current) = catalog.get(&resource.key()) {
-        check_sizes_kept(current, resource)?;
+        check_sizes_unchanged(current, resource)?;
     }
     let mut after = catalog.clone();
     after.insert(std::sync::Arc::new(resource.clone()));
@@ -141,9 +142,10 @@
     check_version_change(catalog, &after, resource)
 }
 
-/// Checks that a resource may be deleted.
+/// Checks that a resource may be deleted: nothing refers to it, and the remaining
+/// resources still fit.
 pub fn check_delete(catalog: &Catalog, key: &ResourceKey) -> Result<(), Vec<Rejection>> {
-    if let Some(by) = referrer(catalog, key) {
+    if let Some(by) = find_referrer(catalog, key) {
         return Err(vec![Rejection::StillReferenced { by }]);
     }
     let mut after = catalog.clone();
@@ -219,13 +221,13 @@
         }
         Some(_) => {}
     }
-    let twin = catalog.model_versions().find(|other| {
+    let duplicate = catalog.model_versions().find(|other| {
         other.metadata.name != name
             && other.spec.model == spec.model
             && other.spec.version == spec.version
     });
-    if let Some(twin) = twin {
-        let by = format!("modelversions/{}", twin.metadata.name);
+    if let Some(duplicate) = duplicate {
+        let by = format!("modelversions/{}", duplicate.metadata.name);
         rejections.push(Rejection::NameTaken { by });
     }
     rejections
@@ -247,9 +249,9 @@
     rejections
 }
 
-/// What is resident under a version's name has the size that it was loaded
-/// with, so another size needs another version, or another adapter.
-fn check_sizes_kept(before: &Resource, after: &Resource) -> Result<(), Vec<Rejection>> {
+/// Checks that sizes are unchanged. A resident artifact has the size with which it
+/// was loaded, so a different size needs a new version or a new adapter.
+fn check_sizes_unchanged(before: &Resource, after: &Resource) -> Result<(), Vec<Rejection>> {
     let field = match (before, after) {
         (Resource::Model(old), Resource::Model(new)) => {
             let sizes = |spec: &ModelSpec| (spec.weights_bytes, spec.cache_bytes);
@@ -298,11 +300,11 @@
         let problem = "must be below spec.memoryBytes".to_owned();
         rejections.push(Rejection::InvalidField { field: "spec.cacheFloorBytes", problem });
     }
-    let twin = catalog
+    let duplicate = catalog
         .engines()
         .find(|other| other.metadata.name != name && other.spec.address == spec.address);
-    if let Some(twin) = twin {
-        let problem = format!("is the address of engines/{}", twin.metadata.name);
+    if let Some(duplicate) = duplicate {
+        let problem = format!("is the address of engines/{}", duplicate.metadata.name);
         rejections.push(Rejection::InvalidField { field: "spec.address", problem });
     }
     rejections
@@ -325,7 +327,7 @@
     rejections
 }
 
-fn referrer(catalog: &Catalog, key: &ResourceKey) -> Option<ResourceKey> {
+fn find_referrer(catalog: &Catalog, key: &ResourceKey) -> Option<ResourceKey> {
     use cometmoor_protocol::resource::Kind;
     if key.kind != Kind::Model {
         return None;
@@ -379,8 +381,8 @@
     }
 }
 
-/// A version change of a model with a single replica is possible only if one
-/// replica of the new version fits beside the old one.
+/// Checks that a version change is possible. With a single replica, one replica of
+/// the new version has to fit beside the old one.
 fn check_version_change(
     before: &Catalog,
     after: &Catalog,
--- a/crates/cometmoor-core/src/weight_store.rs
+++ b/crates/cometmoor-core/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! The weight store's limits on loads, which hold for the whole fleet.
+//! Limits of the weight store on loads, which apply to all engines together.
 
 use std::time::Duration;
 
@@ -7,42 +7,43 @@
 /// Limits of the weight store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WeightStoreLimits {
-    /// Loads that may start in a second.
+    /// Maximum number of loads that start per second.
     pub loads_per_second: f64,
-    /// Loads that may run at the same time.
+    /// Maximum number of loads that run at the same time.
     pub concurrent_loads: u32,
 }
 
-/// Admits loads within the limits.
+/// Token bucket that admits loads within the limits.
 ///
-/// It starts without credit: a planner that takes over does not know what its
-/// predecessor started in the last second.
+/// It starts empty, because a planner that takes over does not know which loads
+/// its predecessor started in the last second.
 #[derive(Clone, Debug)]
 pub struct LoadLimiter {
     limits: WeightStoreLimits,
-    credit: f64,
+    tokens: f64,
     updated: Timestamp,
 }
 
 impl LoadLimiter {
-    /// A limiter without credit.
+    /// Creates a limiter with an empty bucket.
     pub fn new(limits: WeightStoreLimits, now: Timestamp) -> LoadLimiter {
-        LoadLimiter { limits, credit: 0.0, updated: now }
+        LoadLimiter { limits, tokens: 0.0, updated: now }
     }
 
-    /// Takes one load if it may start now. `loading` counts the loads that run
-    /// or may be running.
+    /// Takes a token for one load and returns true if the load may start now.
+    /// `loading` is the number of loads that run or may be running.
     pub fn try_start(&mut self, loading: u32, now: Timestamp) -> bool {
         let elapsed: Duration = now.since(self.updated);
         self.updated = self.updated.max(now);
-        // One whole load of credit is the most that an idle second leaves.
+        // An idle limiter saves the tokens of one second, but at least one whole
+        // token, without which a rate below 1 would never admit a load.
         let burst = self.limits.loads_per_second.max(1.0);
-        let earned = elapsed.as_secs_f64() * self.limits.loads_per_second;
-        self.credit = (self.credit + earned).min(burst);
-        if loading >= self.limits.concurrent_loads || self.credit < 1.0 {
+        let refill = elapsed.as_secs_f64() * self.limits.loads_per_second;
+        self.tokens = (self.tokens + refill).min(burst);
+        if loading >= self.limits.concurrent_loads || self.tokens < 1.0 {
             return false;
         }
-        self.credit -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
