--- a/crates/cometmoor-core/src/idempotency.rs
+++ b/crates/cometmoor-core/src/idempotency.rs
@@ -92,7 +92,7 @@
 
 /// State of a key's run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Run {
+enum RunState {
     Running,
     Complete(StoredAnswer),
     Unknown,
@@ -102,7 +102,7 @@
 struct Entry {
     fingerprint: u64,
     expires_at: Timestamp,
-    run: Run,
+    run: RunState,
     bytes: usize,
 }
 
@@ -204,7 +204,7 @@
     fn adopt_key(&mut self, finished: FinishedKey) {
         let FinishedKey { key, expires_at, fingerprint, answer } = finished;
         let bytes = answer.as_ref().map_or(0, |answer| answer.body.len());
-        let run = answer.map_or(Run::Unknown, Run::Complete);
+        let run = answer.map_or(RunState::Unknown, RunState::Complete);
         self.bytes += bytes;
         self.expiries.push_back((self.remove_at(expires_at), key.clone()));
         self.entries.insert(key, Entry { fingerprint, expires_at, run, bytes });
@@ -253,7 +253,7 @@
         if self.entries.len() >= self.limits.max_entries || self.bytes >= self.limits.max_bytes {
             return BeginOutcome::Full;
         }
-        let entry = Entry { fingerprint, expires_at, run: Run::Running, bytes: 0 };
+        let entry = Entry { fingerprint, expires_at, run: RunState::Running, bytes: 0 };
         self.entries.insert(key.to_owned(), entry);
         self.expiries.push_back((self.remove_at(expires_at), key.to_owned()));
         BeginOutcome::Run
@@ -274,11 +274,11 @@
             RunOutcome::NotRun => {
                 self.entries.remove(key);
             }
-            RunOutcome::Unknown => entry.run = Run::Unknown,
+            RunOutcome::Unknown => entry.run = RunState::Unknown,
             RunOutcome::Complete(answer) => {
                 entry.bytes = answer.body.len();
                 self.bytes += entry.bytes;
-                entry.run = Run::Complete(answer);
+                entry.run = RunState::Complete(answer);
             }
         }
     }
@@ -290,7 +290,7 @@
 
     /// Whether any run is still in progress.
     pub fn has_running(&self) -> bool {
-        self.entries.values().any(|entry| entry.run == Run::Running)
+        self.entries.values().any(|entry| entry.run == RunState::Running)
     }
 
     /// Keys whose runs have ended, for the handover.
@@ -317,17 +317,17 @@
         return BeginOutcome::DifferentRequest;
     }
     match &entry.run {
-        Run::Running => BeginOutcome::AlreadyRunning,
-        Run::Complete(answer) => BeginOutcome::Replay(answer.clone()),
-        Run::Unknown => BeginOutcome::Unknown,
+        RunState::Running => BeginOutcome::AlreadyRunning,
+        RunState::Complete(answer) => BeginOutcome::Replay(answer.clone()),
+        RunState::Unknown => BeginOutcome::Unknown,
     }
 }
 
 fn finished_key(key: &str, entry: &Entry) -> Option<FinishedKey> {
     let answer = match &entry.run {
-        Run::Running => return None,
-        Run::Complete(answer) => Some(answer.clone()),
-        Run::Unknown => None,
+        RunState::Running => return None,
+        RunState::Complete(answer) => Some(answer.clone()),
+        RunState::Unknown => None,
     };
     Some(FinishedKey {
         key: key.to_owned(),
--- a/crates/cometmoor-core/src/validation.rs
+++ b/crates/cometmoor-core/src/validation.rs
@@ -28,7 +28,7 @@
     InvalidField {
         /// Path of the field.
         field: &'static str,
-        /// Requirement that the value does not meet.
+        /// Why the value is invalid.
         problem: String,
     },
     /// A referenced resource does not exist.
@@ -116,8 +116,9 @@
     }
 }
 
-/// Checks that a resource may be created or replaced. Returns every problem of
-/// its fields, or else the first that concerns the fit on the engines.
+/// Checks that a resource may be created or replaced. Problems of its
+/// fields are returned together; whether it fits on the engines is checked only
+/// if there are none.
 pub fn check_put(catalog: &Catalog, resource: &Resource) -> Result<(), Vec<Rejection>> {
     let mut rejections = check_name(&resource.metadata().name);
     rejections.extend(match resource {
--- a/crates/cometmoor-core/tests/admission.rs
+++ b/crates/cometmoor-core/tests/admission.rs
@@ -1,5 +1,5 @@
-//! Slots are never exceeded, nobody is forgotten, and shares follow the
-//! entitlements.
+//! Tests of admission: slot and queue limits hold, no request is lost, and
+//! dispatches follow the groups' entitlements.
 
 mod schedules;
 
@@ -61,7 +61,7 @@
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Step {
-    Arrive { model: u8, group: u8, patience: u8 },
+    Arrive { model: u8, group: u8, timeout_millis: u8 },
     Release { index: u8 },
     Cancel { index: u8 },
     Wait { millis: u8 },
@@ -96,19 +96,19 @@
 
     fn run(&mut self, step: Step) {
         match step {
-            Step::Arrive { model, group, patience } => {
-                let deadline = self.now + Duration::from_millis(u64::from(patience) + 1);
+            Step::Arrive { model, group, timeout_millis } => {
+                let deadline = self.now + Duration::from_millis(u64::from(timeout_millis) + 1);
                 let request = request(model, group, deadline);
                 let (arrival, decisions) =
                     self.admission.submit(request, self.now, &mut self.random);
                 match arrival {
-                    Arrival::Dispatched(slot) => self.started(slot),
+                    Arrival::Dispatched(slot) => self.record_start(slot),
                     Arrival::Waiting(ticket) => {
                         self.waiting.insert(ticket, model % MODELS);
                     }
                     Arrival::Shed(shed) => assert!(shed.retry_after > Duration::ZERO),
                 }
-                self.decide(decisions);
+                self.apply_decisions(decisions);
             }
             Step::Release { index } => {
                 if self.running.is_empty() {
@@ -116,7 +116,7 @@
                 }
                 let slot = self.running.swap_remove(usize::from(index) % self.running.len());
                 let decisions = self.admission.release(&slot, self.now, &mut self.random);
-                self.decide(decisions);
+                self.apply_decisions(decisions);
             }
             Step::Cancel { index } => {
                 let ticket = self.waiting.keys().nth(usize::from(index) % 8).copied();
@@ -128,7 +128,7 @@
             Step::Wait { millis } => {
                 self.now = self.now + Duration::from_millis(millis.into());
                 let decisions = self.admission.expire(self.now);
-                self.decide(decisions);
+                self.apply_decisions(decisions);
             }
             Step::Routes { leaving } => {
                 self.now = self.now + Duration::from_millis(1);
@@ -136,7 +136,7 @@
                 self.refused.clear();
                 let table = table(self.leaving, self.now);
                 let decisions = self.admission.update_routes(table, self.now, &mut self.random);
-                self.decide(decisions);
+                self.apply_decisions(decisions);
             }
             Step::Refused { engine } => {
                 let engine = format!("e{}", engine % ENGINES);
@@ -147,12 +147,12 @@
         self.check();
     }
 
-    fn decide(&mut self, decisions: Vec<Decision>) {
+    fn apply_decisions(&mut self, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
                 Decision::Dispatched(ticket, slot) => {
                     assert!(self.waiting.remove(&ticket).is_some(), "decided twice");
-                    self.started(slot);
+                    self.record_start(slot);
                 }
                 Decision::Shed(ticket, shed) => {
                     assert!(self.waiting.remove(&ticket).is_some(), "decided twice");
@@ -162,11 +162,14 @@
         }
     }
 
-    fn started(&mut self, slot: Slot) {
-        assert!(self.now.since(slot.engine.reported_at) <= MAX_REPORT_AGE, "an old report");
+    fn record_start(&mut self, slot: Slot) {
+        assert!(
+            self.now.since(slot.engine.reported_at) <= MAX_REPORT_AGE,
+            "dispatched on an outdated report"
+        );
         let leaving = self.leaving.map(|index| format!("e{index}"));
-        assert_ne!(Some(&slot.engine.name), leaving.as_ref(), "new work for a leaving engine");
-        assert!(!self.refused.contains(&slot.engine.name), "new work after a refusal");
+        assert_ne!(Some(&slot.engine.name), leaving.as_ref(), "dispatched to a leaving engine");
+        assert!(!self.refused.contains(&slot.engine.name), "dispatched after a refusal");
         assert!(slot.engine.ready.contains(&slot.artifact));
         self.running.push(slot);
     }
@@ -184,13 +187,13 @@
 }
 
 #[test]
-fn slots_and_queues_keep_their_bounds_and_nobody_is_forgotten() {
+fn slots_and_queues_stay_within_limits_and_no_request_is_lost() {
     for_each_schedule::<Step>(CASES, |steps| {
         let mut world = World::new();
         for step in steps {
             world.run(*step);
         }
-        // With all engines back and every slot released, nobody waits on.
+        // With all engines available and every slot released, no request waits.
         world.run(Step::Routes { leaving: None });
         for _ in 0..100 {
             world.run(Step::Release { index: 0 });
@@ -199,22 +202,22 @@
     });
 }
 
-/// Two groups that both ask for all they can get share by entitlement, and one
-/// that was idle before has no credit.
+/// Two groups with a constant backlog are dispatched in the ratio of their
+/// entitlements; one that was idle before has no credit for its idle time.
 #[test]
-fn dispatches_follow_the_entitlements() {
+fn dispatches_follow_entitlements() {
     let limits = AdmissionLimits { waiting_per_model: 1_000, waiting_per_group: 500, ..LIMITS };
     let mut admission = Admission::new(limits, "z0", TwoChoices);
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let mut now = Timestamp(1);
     admission.update_routes(table(None, now), now, &mut random);
-    let far = Timestamp(u64::MAX);
+    let no_deadline = Timestamp(u64::MAX);
     let mut running = Vec::new();
     let mut groups = BTreeMap::new();
-    // Group 0 is busy alone at first; group 1 then arrives with as much.
+    // Group 0 submits its backlog first; group 1 then submits as many requests.
     for group in [0, 1] {
         for _ in 0..300 {
-            let (arrival, _) = admission.submit(request(0, group, far), now, &mut random);
+            let (arrival, _) = admission.submit(request(0, group, no_deadline), now, &mut random);
             match arrival {
                 Arrival::Dispatched(slot) => running.push(slot),
                 Arrival::Waiting(ticket) => {
@@ -240,35 +243,36 @@
 }
 
 #[test]
-fn a_full_queue_sheds_the_group_that_is_furthest_above_its_entitlement() {
+fn full_queue_sheds_the_group_furthest_above_its_entitlement() {
     let limits = AdmissionLimits { waiting_per_group: 4, ..LIMITS };
     let mut admission = Admission::new(limits, "z0", TwoChoices);
     let mut random = ChaCha8Rng::seed_from_u64(1);
     let now = Timestamp(1);
     admission.update_routes(table(None, now), now, &mut random);
-    let far = Timestamp(u64::MAX);
-    let mut flood = Vec::new();
+    let no_deadline = Timestamp(u64::MAX);
+    let mut queued = Vec::new();
     for _ in 0..8 {
-        let (arrival, _) = admission.submit(request(0, 0, far), now, &mut random);
+        let (arrival, _) = admission.submit(request(0, 0, no_deadline), now, &mut random);
         if let Arrival::Waiting(ticket) = arrival {
-            flood.push(ticket);
+            queued.push(ticket);
         }
     }
-    assert_eq!(flood.len(), 4);
-    let (arrival, _) = admission.submit(request(0, 0, far), now, &mut random);
+    assert_eq!(queued.len(), 4);
+    let (arrival, _) = admission.submit(request(0, 0, no_deadline), now, &mut random);
     assert!(matches!(arrival, Arrival::Shed(shed) if shed.reason == ShedReason::QueueFull));
-    let (arrival, decisions) = admission.submit(request(0, 1, far), now, &mut random);
+    let (arrival, decisions) = admission.submit(request(0, 1, no_deadline), now, &mut random);
     assert!(matches!(arrival, Arrival::Waiting(_)), "{arrival:?}");
-    assert!(matches!(decisions[..], [Decision::Shed(ticket, _)] if ticket == flood[3]));
+    assert!(matches!(decisions[..], [Decision::Shed(ticket, _)] if ticket == queued[3]));
 }
 
-/// A paused node wakes with old routes; what it knew is no reason to send.
+/// After a pause, a node still has outdated routes. It must not dispatch requests
+/// on the reports in them.
 #[test]
-fn an_outdated_report_gets_no_new_requests_until_the_next_one() {
+fn engine_with_outdated_report_gets_no_requests_until_its_next_report() {
     let mut world = World::new();
     world.now = world.now + MAX_REPORT_AGE + Duration::from_millis(1);
-    let patient = request(0, 0, Timestamp(u64::MAX));
-    let (arrival, _) = world.admission.submit(patient, world.now, &mut world.random);
+    let request = request(0, 0, Timestamp(u64::MAX));
+    let (arrival, _) = world.admission.submit(request, world.now, &mut world.random);
     let Arrival::Waiting(ticket) = arrival else { panic!("{arrival:?}") };
     let fresh = table(None, world.now);
     let decisions = world.admission.update_routes(fresh, world.now, &mut world.random);
@@ -276,7 +280,7 @@
 }
 
 #[test]
-fn a_request_that_every_candidate_refused_is_given_up_at_once() {
+fn request_refused_by_every_candidate_is_shed_at_once() {
     let mut world = World::new();
     let mut refused = request(0, 0, Timestamp(u64::MAX));
     refused.excluded = (0..ENGINES).map(|index| format!("e{index}")).collect();
--- a/crates/cometmoor-core/tests/configuration.rs
+++ b/crates/cometmoor-core/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! The generation in force only rises, whatever is offered in whatever order.
+//! Tests of the configuration: its generation never decreases, whatever updates
+//! arrive in whatever order.
 
 mod schedules;
 
@@ -17,7 +18,7 @@
     ResourceKey { kind: Kind::Adapter, name: format!("a{}", generation % NAMES) }
 }
 
-/// The change of a generation in a fixed history.
+/// The change that produces a generation in a fixed history.
 fn change(generation: u64) -> Change {
     let key = key(generation);
     let resource = (!generation.is_multiple_of(7)).then(|| {
@@ -33,7 +34,7 @@
     Update::Changes { base, changes: (base + 1..=end).map(change).collect() }
 }
 
-/// The configuration that the history makes, by applying it in order.
+/// The configuration at a generation of the history, applied in order.
 fn reference(generation: u64) -> Configuration {
     let mut configuration = Configuration::default();
     if generation > 0 {
@@ -56,14 +57,14 @@
         base: u8,
         count: u8,
     },
-    /// A peer sends what this node lacks.
+    /// A peer at generation `peer` sends the changes that this node lacks.
     Pull {
         peer: u8,
     },
 }
 
 #[test]
-fn the_generation_never_falls_and_the_content_is_always_that_of_the_generation() {
+fn generation_never_decreases_and_content_matches_the_generation() {
     for_each_schedule::<Step>(CASES, |steps| {
         let mut configuration = Configuration::default();
         for step in steps {
@@ -91,11 +92,11 @@
 }
 
 #[test]
-fn a_gap_is_told_and_changes_nothing() {
+fn update_with_a_gap_is_reported_and_not_applied() {
     let mut configuration = reference(10);
     assert_eq!(configuration.apply(changes(11, 14)), Applied::Gap);
-    let with_hole = Update::Changes { base: 10, changes: vec![change(11), change(13)] };
-    assert_eq!(configuration.apply(with_hole), Applied::Gap);
+    let with_gap = Update::Changes { base: 10, changes: vec![change(11), change(13)] };
+    assert_eq!(configuration.apply(with_gap), Applied::Gap);
     assert_eq!(configuration.generation(), 10);
     assert_eq!(configuration.apply(changes(5, 10)), Applied::NothingNew);
     assert_eq!(configuration.apply(changes(8, 12)), Applied::Advanced);
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn a_peer_that_lags_far_gets_everything() {
+fn peer_behind_the_change_log_gets_the_full_configuration() {
     let capacity = CHANGE_LOG_CAPACITY as u64;
     let newest = reference(capacity + 5);
     assert!(matches!(newest.update_since(4), Some(Update::Full { .. })));
--- a/crates/cometmoor-core/tests/idempotency.rs
+++ b/crates/cometmoor-core/tests/idempotency.rs
@@ -1,4 +1,5 @@
-//! A key runs at most once, whatever is asked, ended, expired or handed over.
+//! Tests of idempotency keys: a key runs at most once in any sequence of requests,
+//! outcomes, expiries and handovers.
 
 mod schedules;
 
@@ -31,7 +32,7 @@
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Step {
-    Ask {
+    Begin {
         key: u8,
     },
     End {
@@ -42,13 +43,13 @@
         millis: u8,
     },
     Close,
-    /// The holder stops and another node takes the closed table over.
+    /// The holder stops and another node adopts the closed table.
     HandOver,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Runs {
-    /// Runs of which something may have had an effect.
+    /// Runs that may have had an effect.
     effective: u32,
     running: bool,
 }
@@ -63,7 +64,7 @@
 impl World {
     fn run(&mut self, step: Step) {
         match step {
-            Step::Ask { key } => self.ask(key % KEYS),
+            Step::Begin { key } => self.begin(key % KEYS),
             Step::End { key, end } => self.end(key % KEYS, end),
             Step::Wait { millis } => self.now = self.now + Duration::from_millis(millis.into()),
             Step::Close => {
@@ -80,22 +81,22 @@
         }
     }
 
-    /// The keys were issued at 0, 50 and 100 milliseconds.
+    /// Expiry of a key; the keys are issued at 0, 50 and 100 milliseconds.
     fn expiry(key: u8) -> Timestamp {
         Timestamp(50 * u64::from(key)) + LIMITS.key_lifetime
     }
 
-    fn ask(&mut self, key: u8) {
+    fn begin(&mut self, key: u8) {
         let begin = self.table.begin(&key.to_string(), World::expiry(key), FINGERPRINT, self.now);
         let runs = &mut self.runs[usize::from(key)];
         match begin {
             BeginOutcome::Run => {
-                assert_eq!(runs.effective, 0, "key {key} was run before");
+                assert_eq!(runs.effective, 0, "key {key} ran before");
                 assert!(!runs.running && !self.closed && self.now < World::expiry(key));
                 runs.running = true;
             }
             BeginOutcome::Expired { certainly_not_run: true } => {
-                assert!(runs.effective == 0 && !runs.running, "key {key} was run");
+                assert!(runs.effective == 0 && !runs.running, "key {key} ran");
             }
             BeginOutcome::Replay(_) => assert_eq!(runs.effective, 1),
             BeginOutcome::AlreadyRunning => assert!(runs.running),
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn a_key_runs_at_most_once_and_not_run_is_true() {
+fn key_runs_at_most_once_and_certainly_not_run_is_correct() {
     for_each_schedule::<Step>(CASES, |steps| {
         let mut world = World {
             table: IdempotencyTable::new(LIMITS),
@@ -137,7 +138,7 @@
 }
 
 #[test]
-fn a_key_keeps_to_its_request() {
+fn key_is_bound_to_its_first_request() {
     let mut table = IdempotencyTable::new(LIMITS);
     let expiry = World::expiry(0);
     assert_eq!(table.begin("0", expiry, 1, Timestamp(0)), BeginOutcome::Run);
@@ -147,7 +148,7 @@
 }
 
 #[test]
-fn a_full_table_takes_no_further_key_until_old_ones_are_forgotten() {
+fn full_table_rejects_new_keys_until_old_ones_are_removed() {
     let mut table = IdempotencyTable::new(LIMITS);
     for key in 0..3 {
         assert_eq!(
@@ -158,12 +159,12 @@
     assert_eq!(table.begin("3", Timestamp(100), 1, Timestamp(0)), BeginOutcome::Full);
     let later = Timestamp(200);
     assert_eq!(table.begin("3", Timestamp(300), 1, later), BeginOutcome::Run);
-    let forgotten = BeginOutcome::Expired { certainly_not_run: false };
-    assert_eq!(table.begin("0", Timestamp(100), 1, later), forgotten);
+    let removed = BeginOutcome::Expired { certainly_not_run: false };
+    assert_eq!(table.begin("0", Timestamp(100), 1, later), removed);
 }
 
 #[test]
-fn prefixes_are_read_back_and_others_refused() {
+fn prefixes_round_trip_and_invalid_keys_are_rejected() {
     let prefix = KeyPrefix {
         system: "lab".to_owned(),
         node: "node-1".to_owned(),
--- a/crates/cometmoor-core/tests/ledger.rs
+++ b/crates/cometmoor-core/tests/ledger.rs
@@ -1,5 +1,5 @@
-//! No schedule of lost, late and doubled orders, restarts and take-overs makes
-//! an engine that checks fences hold more than its memory.
+//! Tests of the ledger: no schedule of lost, late and duplicate orders, restarts
+//! and planner changes makes an engine that checks fences exceed its memory.
 
 mod schedules;
 
@@ -18,7 +18,7 @@
 const CASES: u64 = 20_000;
 const MODELS: u8 = 4;
 
-/// The engine's side of the protocol.
+/// Model of an engine that checks fences.
 #[derive(Default)]
 struct Engine {
     incarnation: u64,
@@ -94,7 +94,7 @@
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Step {
-    /// A planner enters an order and puts it on the network.
+    /// A planner records an order and sends it over the network.
     Load {
         planner: bool,
         model: u8,
@@ -104,21 +104,21 @@
         planner: bool,
         model: u8,
     },
-    /// An order arrives; copies of it may arrive again.
+    /// An order arrives at the engine; the same order may arrive again.
     Deliver {
         index: u8,
     },
-    /// A planner raises its fence and reads the report.
+    /// A planner raises the engine's fence and, if that succeeds, reads a report.
     Raise {
         planner: bool,
     },
-    /// A planner reads the report.
+    /// A planner reads a report.
     Report {
         planner: bool,
     },
     Restart,
-    /// The planner of the lower epoch takes over with a higher one.
-    TakeOver,
+    /// A new planner with a higher epoch replaces the one with the lower epoch.
+    ReplacePlanner,
 }
 
 struct World {
@@ -183,7 +183,7 @@
                 self.planners[usize::from(planner)].ledger.apply_report(&report);
             }
             Step::Restart => self.engine.restart(),
-            Step::TakeOver => {
+            Step::ReplacePlanner => {
                 let outdated = usize::from(self.planners[0].epoch > self.planners[1].epoch);
                 self.planners[outdated] = Planner::new(self.next_epoch);
                 self.next_epoch += 1;
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn no_schedule_overcommits_an_engine() {
+fn engine_is_never_overcommitted() {
     for_each_schedule::<Step>(CASES, |steps| {
         let mut world = World::new();
         for step in steps {
@@ -211,10 +211,10 @@
     });
 }
 
-/// A schedule in which both planners are at work, without which the property
-/// above would say little.
+/// Both planners can get loads accepted by their ledgers. Otherwise the property
+/// above would hold trivially.
 #[test]
-fn the_schedules_reach_loads_by_both_planners() {
+fn both_planners_can_send_loads() {
     let mut world = World::new();
     for planner in [false, true] {
         world.run(Step::Raise { planner });
@@ -222,13 +222,13 @@
     }
     assert_eq!(world.loads_sent, 2);
     world.run(Step::Deliver { index: 0 });
-    assert_eq!(world.engine.used(), 0, "the outdated planner's load is refused");
+    assert_eq!(world.engine.used(), 0, "the engine rejects the outdated planner's load");
     world.run(Step::Deliver { index: 1 });
     assert_eq!(world.engine.used(), 4);
 }
 
 #[test]
-fn an_unanswered_load_counts_until_a_newer_report() {
+fn unanswered_load_counts_until_a_newer_report() {
     let mut ledger = EngineLedger::new(CAPACITY);
     let mut engine = Engine { incarnation: 1, ..Engine::default() };
     let fence = |sequence| Fence { epoch: 1, sequence };
@@ -242,9 +242,9 @@
     ledger.apply_report(&engine.report());
     assert_eq!(ledger.free_bytes(), 3, "the report is older than the order");
     let other = OrderAction::Load { artifact: artifact(1), bytes: 4 };
-    let refused = LedgerError::Overcommit { needed_bytes: 4, free_bytes: 3 };
-    assert_eq!(ledger.record_order(fence(3), other), Err(refused));
+    let overcommit = LedgerError::Overcommit { needed_bytes: 4, free_bytes: 3 };
+    assert_eq!(ledger.record_order(fence(3), other), Err(overcommit));
     engine.raise(fence(4));
     ledger.apply_report(&engine.report());
-    assert_eq!(ledger.free_bytes(), CAPACITY, "the load can take no effect any more");
+    assert_eq!(ledger.free_bytes(), CAPACITY, "the load can no longer take effect");
 }
--- a/crates/cometmoor-core/tests/limits.rs
+++ b/crates/cometmoor-core/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Retry budget, circuit breaker, load limiter, freshness and homes.
+//! Tests of the retry budget, the circuit breaker, the load limiter, the freshness
+//! assessment and the home nodes.
 
 mod schedules;
 
@@ -22,11 +23,11 @@
 }
 
 #[test]
-fn retries_stay_within_their_share() {
+fn retries_stay_within_their_budget() {
     const SHARE: f64 = 0.25;
-    const SAVED: f64 = 3.0;
+    const RESERVE: f64 = 3.0;
     for_each_schedule::<Attempt>(CASES, |attempts| {
-        let mut budget = RetryBudget::new(SHARE, SAVED);
+        let mut budget = RetryBudget::new(SHARE, RESERVE);
         let (mut requests, mut retries) = (0.0, 0.0);
         for attempt in attempts {
             match attempt {
@@ -36,13 +37,13 @@
                 }
                 Attempt::Retry => retries += f64::from(u8::from(budget.try_retry())),
             }
-            assert!(retries <= SAVED + SHARE * requests);
+            assert!(retries <= RESERVE + SHARE * requests);
         }
     });
 }
 
 #[test]
-fn a_failing_engine_is_tried_one_request_at_a_time() {
+fn open_breaker_allows_one_trial_request_at_a_time() {
     let mut breaker = CircuitBreaker::default();
     let mut now = Timestamp(0);
     for _ in 0..3 {
@@ -54,9 +55,9 @@
     now = now + Duration::from_millis(500);
     assert!(breaker.allows(now));
     breaker.record_attempt();
-    assert!(!breaker.allows(now), "one trial at a time");
+    assert!(!breaker.allows(now), "only one trial request at a time");
     breaker.record_failure(now);
-    assert!(!breaker.allows(now + Duration::from_millis(999)), "the pause has doubled");
+    assert!(!breaker.allows(now + Duration::from_millis(999)), "the open interval has doubled");
     now = now + Duration::from_millis(1_000);
     breaker.record_attempt();
     breaker.record_success();
@@ -67,11 +68,11 @@
 struct LoadAttempt {
     wait_millis: u16,
     loading: u8,
-    takes_over: bool,
+    planner_changes: bool,
 }
 
 #[test]
-fn loads_keep_the_weight_stores_limits_also_over_a_take_over() {
+fn load_rate_stays_within_limits_when_planners_change() {
     const RATE: f64 = 1.4;
     let limits = WeightStoreLimits { loads_per_second: RATE, concurrent_loads: 15 };
     for_each_schedule::<LoadAttempt>(CASES, |attempts| {
@@ -80,7 +81,7 @@
         let mut started = 0.0;
         for attempt in attempts {
             now = now + Duration::from_millis(u64::from(attempt.wait_millis % 2_000));
-            if attempt.takes_over {
+            if attempt.planner_changes {
                 limiter = LoadLimiter::new(limits, now);
             }
             let loading = u32::from(attempt.loading % 20);
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn a_store_outage_is_told_from_being_cut_off() {
+fn store_outage_is_distinguished_from_isolation() {
     let tolerance = Duration::from_secs(5);
     let connections = |age: Option<u64>, known_peers, reachable_peers| Connectivity {
         store_read_age: age.map(Duration::from_secs),
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn homes_cover_the_zones_and_move_little() {
+fn homes_cover_all_zones_and_few_move_when_a_node_leaves() {
     const MODELS: usize = 700;
     const HOMES: usize = 3;
     let all = nodes(30);
--- a/crates/cometmoor-core/tests/membership.rs
+++ b/crates/cometmoor-core/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Members find each other, one bad link evicts nobody, the dead are noticed.
+//! Tests of membership: nodes discover each other, bad links evict no node, and
+//! dead nodes are detected.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -31,7 +32,7 @@
     }
 }
 
-/// Nodes that exchange updates over links of which some are broken.
+/// A simulated network in which nodes may be down and links broken.
 struct Network {
     nodes: Vec<Membership>,
     down: BTreeSet<usize>,
@@ -65,19 +66,19 @@
         !self.down.contains(&to) && !self.broken_links.contains(&link)
     }
 
-    fn exchange(&mut self, from: usize, to: usize, whole: bool) {
+    fn exchange(&mut self, from: usize, to: usize, full: bool) {
         let now = self.now;
-        for (sender, receiver, whole) in [(from, to, false), (to, from, whole)] {
+        for (sender, receiver, full) in [(from, to, false), (to, from, full)] {
             let peer = self.nodes[receiver].own().name.clone();
-            let updates = self.nodes[sender].updates(Some(&peer), whole);
-            if !whole {
+            let updates = self.nodes[sender].updates(Some(&peer), full);
+            if !full {
                 self.most_updates = self.most_updates.max(updates.len());
             }
             let own = self.nodes[sender].own().clone();
             let name = own.name.clone();
             for update in std::iter::once(own).chain(updates) {
                 let receiver = &mut self.nodes[receiver];
-                let change = if whole {
+                let change = if full {
                     receiver.merge_without_gossip(update, now)
                 } else {
                     receiver.merge(update, now)
@@ -107,18 +108,18 @@
             let to: usize = target.peer_address.parse().unwrap();
             if self.reachable(index, to) {
                 self.exchange(index, to, false);
-            } else if !self.helper_reaches(index, to) {
+            } else if !self.reaches_indirectly(index, to) {
                 self.nodes[index].probe_failed(&target.name, self.now);
             }
         }
     }
 
-    fn helper_reaches(&mut self, from: usize, to: usize) -> bool {
+    fn reaches_indirectly(&mut self, from: usize, to: usize) -> bool {
         let name = format!("n{to}");
-        let helpers = self.nodes[from].indirect_probers(&name, &mut self.random);
-        helpers.iter().any(|helper| {
-            let helper: usize = helper.peer_address.parse().unwrap();
-            self.reachable(from, helper) && self.reachable(helper, to)
+        let probers = self.nodes[from].indirect_probers(&name, &mut self.random);
+        probers.iter().any(|prober| {
+            let prober: usize = prober.peer_address.parse().unwrap();
+            self.reachable(from, prober) && self.reachable(prober, to)
         })
     }
 
@@ -141,18 +142,18 @@
 }
 
 #[test]
-fn all_members_find_each_other_through_one() {
+fn all_members_discover_each_other_through_one_node() {
     let mut network = Network::new(NODES);
     network.rounds(20);
     for node in &network.nodes {
-        assert_eq!(node.serving().count(), NODES, "{} lacks some", node.own().name);
+        assert_eq!(node.serving().count(), NODES, "{} does not know all members", node.own().name);
     }
     assert!(network.most_updates <= UPDATES_PER_EXCHANGE);
     assert!(network.deaths.is_empty());
 }
 
 #[test]
-fn bad_links_evict_nobody() {
+fn bad_links_evict_no_node() {
     let mut network = Network::new(NODES);
     network.rounds(20);
     for index in 0..6 {
@@ -162,10 +163,10 @@
     assert_eq!(network.deaths, BTreeMap::new());
 }
 
-/// A node that answers nobody for a while is suspected, and is heard before it
-/// is given up.
+/// A node that does not answer for a short time is suspected, and refutes the
+/// suspicion before it is declared dead.
 #[test]
-fn a_short_pause_is_refuted() {
+fn suspicion_after_a_short_pause_is_refuted() {
     let mut network = Network::new(NODES);
     network.rounds(20);
     network.down.insert(5);
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn a_dead_node_is_noticed_by_all_and_a_new_process_is_taken_in() {
+fn dead_node_is_detected_by_all_and_its_new_process_joins() {
     let mut network = Network::new(NODES);
     network.rounds(20);
     network.down.insert(5);
@@ -196,19 +197,19 @@
 }
 
 #[test]
-fn a_paused_node_comes_back_by_refuting_its_death() {
+fn paused_node_rejoins_by_refuting_its_death() {
     let mut network = Network::new(NODES);
     network.rounds(20);
     network.down.insert(5);
     network.rounds(60);
     network.down.remove(&5);
-    // Its own probes tell it what the others think.
+    // The answers to its own probes tell it that it is considered dead.
     network.rounds(40);
     assert_eq!(network.states_of("n5"), BTreeMap::from([(Some(MemberState::Alive), NODES - 1)]));
 }
 
 #[test]
-fn a_leaving_node_is_known_as_such_and_then_dead() {
+fn leaving_node_is_known_as_leaving_and_then_as_dead() {
     let mut network = Network::new(NODES);
     network.rounds(20);
     network.nodes[5].announce_leaving();
@@ -219,24 +220,25 @@
     assert_eq!(network.states_of("n5"), BTreeMap::from([(Some(MemberState::Dead), NODES - 1)]));
 }
 
-/// The dead still count as expected, or a node that is cut off would think
-/// itself the whole system; those that left as planned do not.
+/// Dead peers still count as expected, because an isolated node would otherwise
+/// take itself for the whole system. Peers that announced their shutdown do not
+/// count.
 #[test]
-fn a_cut_off_node_still_expects_the_others() {
+fn isolated_node_still_expects_its_peers() {
     let mut network = Network::new(NODES);
     network.rounds(20);
     network.nodes[1].announce_leaving();
     network.rounds(15);
     network.down = (1..NODES).collect();
     network.rounds(200);
-    let alone = &network.nodes[0];
-    assert_eq!(alone.peers().count(), 0);
-    assert_eq!(alone.expected_peers(), NODES - 2);
-    assert_eq!(alone.contacted_within(Duration::from_secs(5), network.now), 0);
+    let isolated = &network.nodes[0];
+    assert_eq!(isolated.peers().count(), 0);
+    assert_eq!(isolated.expected_peers(), NODES - 2);
+    assert_eq!(isolated.contacted_within(Duration::from_secs(5), network.now), 0);
 }
 
 #[test]
-fn the_adopter_answers_for_an_issuers_keys() {
+fn adopter_holds_the_keys_of_a_stopped_issuer() {
     let issuer = Issuer { node: "n1".to_owned(), incarnation: 1 };
     let mut members = vec![member(0, 1), member(1, 1)];
     let holder = |members: &[Member]| Membership::key_holder(members, &issuer).cloned();
--- a/crates/cometmoor-core/tests/placement.rs
+++ b/crates/cometmoor-core/tests/placement.rs
@@ -1,4 +1,5 @@
-//! Plans fit, keep what is in place, and reach every model while they change.
+//! Tests of placement, reconciliation and validation: plans fit, replicas stay where
+//! they are, and every model stays reachable while the plan changes.
 
 mod schedules;
 
@@ -66,7 +67,7 @@
     DeleteAdapter { name: u8 },
 }
 
-/// Engines that carry orders out at once, and a planner's ledgers of them.
+/// Engines that carry out orders immediately, and a planner's ledgers of them.
 struct World {
     catalog: Catalog,
     engines: BTreeMap<String, (BTreeMap<Artifact, u64>, EngineLedger)>,
@@ -91,7 +92,8 @@
     fn change(&mut self, step: Step) {
         match step {
             Step::Model { name, version, replicas } => {
-                // A version keeps its size, also when it comes back later.
+                // The size depends only on name and version, so a version that is
+                // declared again later has the same size.
                 let bytes = (u64::from(name % 4) * 7 + u64::from(version % 3) * 5) % 6 + 1;
                 let version = format!("v{}", version % 3);
                 let replicas = u32::from(replicas) % 2 + 1;
@@ -134,7 +136,7 @@
         }
     }
 
-    /// One round of the planner; the number of orders.
+    /// Runs one round of the planner and returns the number of orders.
     fn round(&mut self) -> usize {
         let names: Vec<String> = self.engines.keys().cloned().collect();
         let mut states = BTreeMap::new();
@@ -154,17 +156,17 @@
         }
         let required = requirements(&self.catalog);
         let plan = plan(&required, &capacities);
-        assert!(plan.shortages.is_empty(), "an accepted catalog has no place");
+        assert!(plan.shortages.is_empty(), "the accepted catalog does not fit");
         let orders = next_orders(&plan, &required, &states);
         let before = self.ready_models();
         for order in &orders {
-            self.carry_out(&order.engine, &order.action);
+            self.execute(&order.engine, &order.action);
         }
         self.check_reachable(&before);
         orders.len()
     }
 
-    fn carry_out(&mut self, engine: &str, action: &OrderAction) {
+    fn execute(&mut self, engine: &str, action: &OrderAction) {
         self.fence.sequence += 1;
         let (resident, ledger) = self.engines.get_mut(engine).unwrap();
         ledger.record_order(self.fence, action.clone()).unwrap();
@@ -204,7 +206,7 @@
 }
 
 #[test]
-fn changes_are_carried_out_without_overcommit_or_a_gap() {
+fn changes_converge_without_overcommit_or_unreachable_models() {
     for_each_schedule::<Step>(CASES, |steps| {
         let mut world = World::new();
         for step in steps {
@@ -214,7 +216,7 @@
         let mut rounds = 0;
         while world.round() > 0 {
             rounds += 1;
-            assert!(rounds < 50, "the orders do not come to an end");
+            assert!(rounds < 50, "the orders do not converge");
         }
         for requirement in requirements(&world.catalog) {
             let copies = world.engines.values().filter(|(resident, _)| {
@@ -242,17 +244,17 @@
 }
 
 #[test]
-fn replicas_stay_where_they_are_and_new_ones_go_to_other_zones() {
+fn replicas_stay_in_place_and_new_ones_go_to_other_zones() {
     let engines = [capacity(0, &[]), capacity(2, &[("m", 5)]), capacity(3, &[])];
     let plan = plan(&[requirement("m", 5, 2)], &engines);
     let hosts: Vec<&String> = plan.assignments.keys().collect();
     assert_eq!(hosts, ["e2", "e3"]);
 }
 
-/// A version change keeps the old version, with its adapters, until the new
-/// one is complete.
+/// During a version change, the old version and its adapters stay loaded until the
+/// new version has all its adapters.
 #[test]
-fn an_adapter_stays_reachable_while_its_model_changes_version() {
+fn adapter_stays_reachable_while_its_model_changes_version() {
     let mut world = World::new();
     world.put(&model("m", "v1", 4, 1));
     world.put(&adapter("a", "m"));
@@ -270,7 +272,7 @@
 }
 
 #[test]
-fn what_fits_only_after_repacking_is_repacked() {
+fn plan_repacks_when_keeping_everything_does_not_fit() {
     let engines = [capacity(0, &[("a", 4)]), capacity(1, &[("b", 4)])];
     let required = [requirement("a", 4, 1), requirement("b", 4, 1), requirement("c", 12, 1)];
     let plan = plan(&required, &engines);
@@ -279,7 +281,7 @@
 }
 
 #[test]
-fn refusals_tell_the_figures() {
+fn rejections_report_the_sizes() {
     let mut catalog = Catalog::default();
     for index in 0..2 {
         catalog.insert(Arc::new(engine(index)));
--- a/crates/cometmoor-core/tests/unfenced.rs
+++ b/crates/cometmoor-core/tests/unfenced.rs
@@ -1,5 +1,5 @@
-//! No schedule of late and doubled orders, paused planners and take-overs makes
-//! an engine that checks nothing hold more than its memory.
+//! Tests of order records: no schedule of late and duplicate orders, paused planners
+//! and planner changes makes an engine without fences exceed its memory.
 
 mod schedules;
 
@@ -16,7 +16,7 @@
 const CASES: u64 = 20_000;
 const MODELS: u8 = 4;
 
-/// An engine that applies whatever arrives.
+/// Model of an engine that applies every order that arrives.
 #[derive(Default)]
 struct Engine {
     incarnation: u64,
@@ -47,24 +47,25 @@
     revision: u64,
 }
 
-/// What a planner has seen; it may be outdated at any time.
+/// A planner with what it has last read, which may be outdated at any time.
 #[derive(Clone)]
 struct Planner {
     id: PlannerId,
     record: OrderRecord,
     revision: u64,
     resident: BTreeMap<Artifact, u64>,
-    /// An order that it is about to send, whatever has happened since.
+    /// An order that it is about to send, regardless of later changes.
     to_send: Option<OrderAction>,
 }
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Step {
-    /// Reads the record and the engine's report, as at the start of a round.
+    /// Reads the record and the engine's report, as a planner does at the start of
+    /// a round.
     Refresh {
         planner: bool,
     },
-    /// Writes an order to the record and makes ready to send it.
+    /// Writes an order to the record and prepares to send it.
     Load {
         planner: bool,
         model: u8,
@@ -74,7 +75,7 @@
         planner: bool,
         model: u8,
     },
-    /// Sends the open order; a lost answer leaves a copy on its way.
+    /// Sends the open order. Without an answer, a copy stays in transit.
     Send {
         planner: bool,
         answered: bool,
@@ -83,16 +84,16 @@
     Late {
         index: u8,
     },
-    /// An answered order is delivered once more.
+    /// An answered order is delivered again.
     Duplicate {
         index: u8,
     },
-    /// So much time passes that no answered order is delivered once more.
-    Settle {
+    /// Enough time passes that no answered order can be delivered again.
+    ExpireDuplicates {
         planner: bool,
     },
     Restart,
-    /// A planner's process is replaced; what it was about to send is gone.
+    /// A planner's process is replaced, and the order it was about to send is lost.
     Replace {
         planner: bool,
     },
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Compare-and-swap of the record; false when somebody else was faster.
+    /// Compare-and-swap of the record; false if another planner wrote first.
     fn write(&mut self, planner: bool, record: OrderRecord) -> bool {
         let planner = &mut self.planners[usize::from(planner)];
         if planner.revision != self.store.revision {
@@ -149,12 +150,12 @@
         planner.resident = self.engine.resident.clone();
         let running = self.planners.clone().map(|planner| planner.id);
         let planner = &mut self.planners[usize::from(index)];
-        let cleared = planner
+        let updated = planner
             .record
             .at_incarnation(self.engine.incarnation, &planner.id)
             .release_planners(|id| !running.contains(id) || *id == planner.id)
             .adopt_open_order(&planner.id);
-        if cleared != planner.record && !self.write(index, cleared) {
+        if updated != planner.record && !self.write(index, updated) {
             return;
         }
         let planner = &mut self.planners[usize::from(index)];
@@ -181,9 +182,9 @@
             return;
         };
         if !answered {
-            let noted = planner.record.mark_unanswered();
+            let unanswered = planner.record.mark_unanswered();
             self.copies.push((self.engine.incarnation, action));
-            if !self.write(index, noted) {
+            if !self.write(index, unanswered) {
                 self.planners[usize::from(index)].to_send = None;
             }
             return;
@@ -223,11 +224,11 @@
                     self.engine.deliver(&action.clone());
                 }
             }
-            Step::Settle { planner } => {
+            Step::ExpireDuplicates { planner } => {
                 self.duplicates.clear();
-                let settled =
+                let without_answered =
                     self.planners[usize::from(planner)].record.drop_answered_loads(|_| true);
-                self.write(planner, settled);
+                self.write(planner, without_answered);
             }
             Step::Restart => {
                 let incarnation = self.engine.incarnation + 1;
@@ -246,7 +247,7 @@
 }
 
 #[test]
-fn no_schedule_overcommits_an_engine() {
+fn engine_is_never_overcommitted() {
     for_each_schedule::<Step>(CASES, |steps| {
         let mut world = World::new();
         for step in steps {
@@ -261,7 +262,7 @@
 }
 
 #[test]
-fn a_load_with_a_copy_on_its_way_keeps_its_memory_aside() {
+fn load_with_a_copy_in_transit_keeps_its_memory_reserved() {
     let mut world = World::new();
     let load = |model, bytes| Step::Load { planner: true, model, bytes };
     let answered = Step::Send { planner: true, answered: true };
@@ -275,10 +276,10 @@
     assert_eq!(world.engine.used(), 0);
     let record = &world.planners[1].record;
     let big = OrderAction::Load { artifact: artifact(1), bytes: 4 };
-    let refused = RecordError::Overcommit { needed_bytes: 4, free_bytes: 3 };
+    let overcommit = RecordError::Overcommit { needed_bytes: 4, free_bytes: 3 };
     assert_eq!(
         record.open_order(big, &planner(true, 1).id, CAPACITY, &BTreeMap::new()),
-        Err(refused)
+        Err(overcommit)
     );
     world.run(Step::Late { index: 0 });
     assert_eq!(world.engine.used(), 7, "the copy arrived");
@@ -291,7 +292,7 @@
 }
 
 #[test]
-fn only_one_order_is_open_at_a_time() {
+fn only_one_order_can_be_open() {
     let record = OrderRecord::default();
     let unload = OrderAction::Unload { artifact: artifact(0) };
     let id = planner(false, 1).id;
@@ -301,7 +302,7 @@
 }
 
 #[test]
-fn an_answered_load_keeps_its_memory_aside_while_a_duplicate_may_come() {
+fn answered_load_keeps_its_memory_reserved_while_a_duplicate_may_arrive() {
     let mut world = World::new();
     let answered = Step::Send { planner: true, answered: true };
     world.run(Step::Refresh { planner: true });
@@ -315,7 +316,7 @@
     assert_eq!(world.engine.used(), 7, "the second load was not sent");
     world.run(Step::Unload { planner: true, model: 0 });
     world.run(answered);
-    world.run(Step::Settle { planner: true });
+    world.run(Step::ExpireDuplicates { planner: true });
     world.run(Step::Load { planner: true, model: 1, bytes: 6 });
     world.run(answered);
     assert_eq!(world.engine.resident.keys().next(), Some(&artifact(1)));
