--- a/crates/cometmoor-core/src/catalog.rs
+++ b/crates/cometmoor-core/src/catalog.rs
@@ -141,7 +141,7 @@
     }
 
     /// Up to three callable names that resemble an unknown one, best match first.
-    pub fn near_names(&self, unknown: &str) -> Vec<String> {
+    pub fn similar_names(&self, unknown: &str) -> Vec<String> {
         let mut scored: Vec<(f64, String)> = self
             .callable_names()
             .into_iter()
--- a/crates/cometmoor-core/src/ledger.rs
+++ b/crates/cometmoor-core/src/ledger.rs
@@ -87,7 +87,7 @@
     }
 
     /// Artifacts with an open order, whose effect is not known yet.
-    pub fn artifacts_in_doubt(&self) -> impl Iterator<Item = &Artifact> {
+    pub fn unsettled_artifacts(&self) -> impl Iterator<Item = &Artifact> {
         self.open_orders.values().map(OrderAction::artifact)
     }
 
--- a/crates/cometmoor-core/src/reconcile.rs
+++ b/crates/cometmoor-core/src/reconcile.rs
@@ -19,7 +19,7 @@
     /// Memory that is certainly free, in bytes.
     pub free_bytes: u64,
     /// Artifacts with an order whose effect is not known yet.
-    pub in_doubt: BTreeSet<Artifact>,
+    pub unsettled: BTreeSet<Artifact>,
 }
 
 impl EngineState {
@@ -79,7 +79,7 @@
         let mut free_bytes = state.free_bytes;
         // In the order of artifacts, a base comes before its adapters.
         for (artifact, bytes) in content {
-            let pending = state.holds(artifact) || state.in_doubt.contains(artifact);
+            let pending = state.holds(artifact) || state.unsettled.contains(artifact);
             let base_missing = artifact.adapter.is_some() && !state.holds(&artifact.base());
             if pending || base_missing || *bytes > free_bytes {
                 continue;
@@ -176,7 +176,7 @@
     }
 
     fn order(&mut self, engine: &str, state: &EngineState, artifact: &Artifact) {
-        if state.is_unloading(artifact) || state.in_doubt.contains(artifact) {
+        if state.is_unloading(artifact) || state.unsettled.contains(artifact) {
             return;
         }
         let action = OrderAction::Unload { artifact: artifact.clone() };
@@ -226,7 +226,7 @@
         };
         content.iter().any(|(artifact, bytes)| {
             !state.holds(artifact)
-                && !state.in_doubt.contains(artifact)
+                && !state.unsettled.contains(artifact)
                 && *bytes > state.free_bytes
         })
     }
--- a/crates/cometmoor-core/src/validation.rs
+++ b/crates/cometmoor-core/src/validation.rs
@@ -66,7 +66,8 @@
         /// Number of replicas that could not be placed.
         replicas_missing: usize,
     },
-    /// There is no room to load a new version beside the old one.
+    /// There is no room for a new version beside the old one, which has to stay
+    /// until the new one is ready.
     NoRoomForVersionChange {
         /// Memory that the new version needs, in bytes.
         needed_bytes: u64,
--- a/crates/cometmoor-core/tests/placement.rs
+++ b/crates/cometmoor-core/tests/placement.rs
@@ -151,7 +151,7 @@
             let held = inventory.resident.iter();
             capacity.held = held.map(|held| (held.artifact.clone(), held.bytes)).collect();
             capacities.push(capacity);
-            let state = EngineState { inventory, free_bytes, in_doubt: BTreeSet::new() };
+            let state = EngineState { inventory, free_bytes, unsettled: BTreeSet::new() };
             states.insert(name.clone(), state);
         }
         let required = requirements(&self.catalog);
--- a/crates/cometmoor/src/control/planner/fenced.rs
+++ b/crates/cometmoor/src/control/planner/fenced.rs
@@ -48,8 +48,8 @@
     /// What the next orders depend on.
     pub fn state(&self) -> Option<EngineState> {
         let inventory = self.inventory.clone()?;
-        let in_doubt: BTreeSet<_> = self.ledger.artifacts_in_doubt().cloned().collect();
-        Some(EngineState { inventory, free_bytes: self.ledger.free_bytes(), in_doubt })
+        let unsettled: BTreeSet<_> = self.ledger.unsettled_artifacts().cloned().collect();
+        Some(EngineState { inventory, free_bytes: self.ledger.free_bytes(), unsettled })
     }
 
     /// Reads the report. Where the fence of this epoch is missing, or an order
--- a/crates/cometmoor/src/control/planner/mod.rs
+++ b/crates/cometmoor/src/control/planner/mod.rs
@@ -338,8 +338,8 @@
             };
             inventory.resident.iter().filter(loading).count()
         });
-        let in_doubt = engine.state().map_or(0, |state| state.in_doubt.len());
-        reported + in_doubt
+        let unsettled = engine.state().map_or(0, |state| state.unsettled.len());
+        reported + unsettled
     });
     u32::try_from(running.sum::<usize>()).unwrap_or(u32::MAX)
 }
--- a/crates/cometmoor/src/control/planner/unfenced.rs
+++ b/crates/cometmoor/src/control/planner/unfenced.rs
@@ -80,7 +80,7 @@
         let committed = record.committed_bytes(&resident_bytes(&inventory));
         let free_bytes = self.capacity_bytes.saturating_sub(committed);
         let open = record.open.iter().map(|open| open.action.artifact().clone());
-        Some(EngineState { free_bytes, in_doubt: open.collect::<BTreeSet<_>>(), inventory })
+        Some(EngineState { free_bytes, unsettled: open.collect::<BTreeSet<_>>(), inventory })
     }
 
     /// Reads the record where it is not known, the report always, and repeats
--- a/crates/cometmoor/src/traffic/completions.rs
+++ b/crates/cometmoor/src/traffic/completions.rs
@@ -144,7 +144,7 @@
     catalog.resolve(model).ok_or_else(|| {
         let message = format!("there is no model, version or adapter {model:?}");
         let mut error = RequestError::not_run(StatusCode::NOT_FOUND, Step::Resolve, message);
-        error.detail.near_names = catalog.near_names(model);
+        error.detail.near_names = catalog.similar_names(model);
         error
     })
 }
