--- a/crates/cometmoor-core/tests/gateway_proof.rs
+++ b/crates/cometmoor-core/tests/gateway_proof.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bolero::TypeGenerator;
-use cometmoor_core::gateway::proof::{ProofLimits, ProofOfPeer, ProofRequests};
+use cometmoor_core::gateway::proof::{PeerProof, ProofLimits, ProofRequests};
 use cometmoor_core::time::BootInstant;
 
 use schedules::for_each_schedule;
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Message {
     Request { from: usize, number: u64 },
-    Answer { number: u64, answer: ProofOfPeer },
+    Answer { number: u64, answer: PeerProof },
 }
 
 /// A call to the store: when it began, when the answer comes, and what it holds.
@@ -153,7 +153,7 @@
             match message {
                 Message::Request { from, number } => {
                     let answer =
-                        ProofOfPeer { version: self.nodes[node].version, age: self.age(node) };
+                        PeerProof { version: self.nodes[node].version, age: self.age(node) };
                     self.send(node, from, Message::Answer { number, answer });
                 }
                 Message::Answer { number, answer } => self.take_proof(node, number, answer),
@@ -161,9 +161,9 @@
         }
     }
 
-    fn take_proof(&mut self, node: usize, number: u64, answer: ProofOfPeer) {
+    fn take_proof(&mut self, node: usize, number: u64, answer: PeerProof) {
         let known = &mut self.nodes[node];
-        let proven = known.requests.answered(number, answer, known.version);
+        let proven = known.requests.handle_answer(number, answer, known.version);
         let millis = |proven: BootInstant| u64::try_from(proven.since(at(0)).as_millis()).unwrap();
         known.proven = known.proven.max(proven.map(millis));
         // A newer copy is fetched.
@@ -187,14 +187,14 @@
 
     fn ask(&mut self, node: usize) {
         let age = self.age(node);
-        let is_urgent = self.limits.patience_left(age).is_some_and(|left| left.is_zero());
+        let is_urgent = self.limits.time_until_refresh(age).is_some_and(|left| left.is_zero());
         let on_duty = node == 0 && age.is_none_or(|age| age >= Duration::from_millis(DUTY_EACH));
         if (is_urgent || on_duty) && self.nodes[node].call.is_none() {
             self.call_store(node);
         }
-        if self.limits.is_wanted(age) {
+        if self.limits.needs_peer_proof(age) {
             let now = at(self.now);
-            if let Some((number, source)) = self.nodes[node].requests.next(NODES - 1, now) {
+            if let Some((number, source)) = self.nodes[node].requests.next_request(NODES - 1, now) {
                 let target = (node + NODES - source - 1) % NODES;
                 let target = if node != 0 && source == 0 { 0 } else { target };
                 self.send(node, target, Message::Request { from: node, number });
@@ -215,7 +215,7 @@
 
     fn check(&self) {
         for (place, node) in self.nodes.iter().enumerate().filter(|(_, node)| !node.is_frozen) {
-            let knowledge = self.limits.key_knowledge(self.age(place));
+            let knowledge = self.limits.key_freshness(self.age(place));
             let missed = self.changes.get(usize::try_from(node.version).unwrap()..).unwrap_or(&[]);
             let Some(first) = missed.first() else { continue };
             let since = self.now - first;
@@ -249,7 +249,7 @@
     for _ in 0..400 {
         world.turn();
         for node in 0..NODES {
-            let knowledge = world.limits.key_knowledge(world.age(node));
+            let knowledge = world.limits.key_freshness(world.age(node));
             assert!(knowledge.admits && knowledge.denies, "{:?}", world.age(node));
         }
     }
@@ -269,7 +269,7 @@
     (0..6_500 / TURN).for_each(|_| world.turn());
     world.apply(Step::Thaw { node: 3 });
     world.turn();
-    assert!(!world.limits.key_knowledge(world.age(3)).admits, "{:?}", world.age(3));
+    assert!(!world.limits.key_freshness(world.age(3)).admits, "{:?}", world.age(3));
 }
 
 /// With a store that is away for all, nobody admits keys longer than the bound, and all do
@@ -281,7 +281,7 @@
     (0..NODES).for_each(|node| world.apply(Step::Cut { node: node as u8 }));
     (0..REVOKE / TURN).for_each(|_| world.turn());
     let admits = |world: &World| {
-        (0..NODES).filter(|node| world.limits.key_knowledge(world.age(*node)).admits).count()
+        (0..NODES).filter(|node| world.limits.key_freshness(world.age(*node)).admits).count()
     };
     assert_eq!(admits(&world), 0);
     (0..NODES).for_each(|node| world.apply(Step::Join { node: node as u8 }));
--- a/crates/cometmoor-gateway/src/control/leader/mod.rs
+++ b/crates/cometmoor-gateway/src/control/leader/mod.rs
@@ -13,11 +13,14 @@
 
 use actix::Addr;
 use cometmoor_core::gateway::configuration::{EngineProfile, GatewayConfiguration};
-use cometmoor_core::gateway::leadership::{Leadership, LeadershipTimes, OwnKnowledge, Predecessor};
-use cometmoor_core::gateway::load_rate::LoadRate;
+use cometmoor_core::gateway::leadership::{
+    CandidateContext, Leadership, LeadershipTiming, Predecessor,
+};
+use cometmoor_core::gateway::load_rate::LoadRateLimiter;
 use cometmoor_core::gateway::orders::{Action, NextStep, Weights};
 use cometmoor_core::gateway::planner::{
-    DEMAND_KNOWN, FleetDemand, ModelDemand, PlannedOrder, PlannedServer, ROUND, WITHDRAWAL, plan,
+    FleetDemand, MAX_PLAN_INTERVAL, MIN_DEMAND_HISTORY, ModelDemand, PlannedOrder, PlannedServer,
+    WITHDRAWAL_DELAY, plan,
 };
 use cometmoor_core::gateway::registry::{ServerRecord, ServerState};
 use cometmoor_core::gateway::store_position::StoreEra;
@@ -59,7 +62,7 @@
     engines: HashMap<Arc<str>, Engine>,
     withdrawals: Vec<Withdrawal>,
     announcements: Announcements,
-    load_rates: HashMap<String, LoadRate>,
+    load_rates: HashMap<String, LoadRateLimiter>,
     first_round: Option<Timestamp>,
     last_new_server: Option<Timestamp>,
 }
@@ -108,7 +111,11 @@
     fleet: &Addr<FleetState>,
     lease: Duration,
 ) -> Rc<Leader> {
-    let times = LeadershipTimes { lease, quiet: lease + QUIET_SLACK, order: ORDER_TIMEOUT };
+    let times = LeadershipTiming {
+        lease,
+        handover_delay: lease + QUIET_SLACK,
+        order_timeout: ORDER_TIMEOUT,
+    };
     let leader = Rc::new(Leader {
         context: context.clone(),
         fleet: fleet.clone(),
@@ -143,7 +150,7 @@
 
     /// Whether this node may order servers now.
     pub(super) fn may_order(&self) -> bool {
-        self.leadership.borrow().token(self.now()).is_some()
+        self.leadership.borrow().fencing_token(self.now()).is_some()
     }
 
     /// Nodes that were heard lately.
@@ -182,10 +189,10 @@
     }
 
     /// What this node knows of leadership beside what the store tells in this era.
-    pub(super) fn own_knowledge(&self, era: StoreEra) -> OwnKnowledge {
+    pub(super) fn candidate_context(&self, era: StoreEra) -> CandidateContext {
         let is_fresh =
             self.context.settings.fresh_fleet && clock::elapsed(self.started) < FLEET_IS_FRESH_FOR;
-        OwnKnowledge {
+        CandidateContext {
             fleet_began_in_era: is_fresh && self.context.store.eras().restored().is_none(),
             own_term_runs: self.leadership.borrow().lost_term_runs(era, self.now()),
         }
@@ -202,7 +209,7 @@
         loop {
             self.round().await;
             clock::sleep(SHORTEST_ROUND).await;
-            let _ = clock::timeout(ROUND, self.context.plan_wanted.notified()).await;
+            let _ = clock::timeout(MAX_PLAN_INTERVAL, self.context.plan_wanted.notified()).await;
         }
     }
 
@@ -215,7 +222,7 @@
         let fleet = self.context.board.fleet.load_full();
         let Some(configuration) = fleet.configuration.clone() else { return };
         self.take_servers(&configuration, &fleet.servers);
-        let token = self.leadership.borrow().token(self.now());
+        let token = self.leadership.borrow().fencing_token(self.now());
         self.continue_orders(token);
         let Some(token) = token else { return };
         self.finish_withdrawals(token);
@@ -230,7 +237,7 @@
     /// Tells the nodes what the registry will tell later.
     fn tell_placement(&self) {
         let now = self.now();
-        let token = self.leadership.borrow().token(now).unwrap_or_default();
+        let token = self.leadership.borrow().fencing_token(now).unwrap_or_default();
         let leader = self.context.settings.peer_address;
         let placement = self.state.borrow_mut().placement(leader, token, now);
         self.fleet.do_send(SetPlacement(Some(placement)));
@@ -271,8 +278,8 @@
         for (id, step, asked) in steps {
             let rested = asked.is_none_or(|asked| now.since(asked) >= REPORT_PAUSE);
             match step {
-                NextStep::AskForReport if rested => self.spawn_report(id),
-                NextStep::Repeat { order, expected_count } if rested => {
+                NextStep::RequestReport if rested => self.spawn_report(id),
+                NextStep::Resend { order, expected_count } if rested => {
                     if let Some(token) = token {
                         self.repeat_order(id, order, expected_count, token);
                     }
@@ -286,7 +293,7 @@
         let now = self.now();
         let mut due = Vec::new();
         self.state.borrow_mut().withdrawals.retain(|withdrawal| {
-            let over = now.since(withdrawal.since) >= WITHDRAWAL;
+            let over = now.since(withdrawal.since) >= WITHDRAWAL_DELAY;
             if over {
                 due.push((withdrawal.server.clone(), withdrawal.order.clone()));
             }
@@ -345,7 +352,13 @@
             {
                 engine.promised = None;
             }
-            self.first_order(planned.server, planned.order, expected_count, planned.takes, token);
+            self.first_order(
+                planned.server,
+                planned.order,
+                expected_count,
+                planned.expected_duration,
+                token,
+            );
         }
     }
 
@@ -377,18 +390,17 @@
         // What was ordered in earlier terms was ordered before this one began.
         let acquired = state.acquired;
         let first = self.predecessor.get() == Predecessor::Nobody;
-        let rate = state
-            .load_rates
-            .entry(service.to_owned())
-            .or_insert_with(|| LoadRate::new(profile.loads_per_second, window, acquired, first));
-        rate.left(now)
+        let rate = state.load_rates.entry(service.to_owned()).or_insert_with(|| {
+            LoadRateLimiter::new(profile.loads_per_second, window, acquired, first)
+        });
+        rate.available(now)
     }
 
     async fn demand(&self, profile: &EngineProfile) -> Option<FleetDemand> {
         let view = self.fleet.send(GetDemand).await.ok()?;
         let now = view.now;
-        let watched = view.first_demand.is_some_and(|first| now.since(first) >= DEMAND_KNOWN);
-        let mut demand = FleetDemand { is_known: watched, ..FleetDemand::default() };
+        let watched = view.first_demand.is_some_and(|first| now.since(first) >= MIN_DEMAND_HISTORY);
+        let mut demand = FleetDemand { has_enough_history: watched, ..FleetDemand::default() };
         for model in &profile.models {
             let key = model_key(&model.name, None);
             let asked = ModelDemand::new(
@@ -402,7 +414,7 @@
                 let key = model_key(&model.name, Some(&adapter));
                 let weights = Weights { model: model.name.clone(), adapter: Some(adapter) };
                 if view.waited_for.contains(&key) {
-                    demand.waited_for.insert(weights.clone());
+                    demand.awaited_adapters.insert(weights.clone());
                 }
                 demand.adapters.insert(weights, view.rates.requests(key, now));
             }
@@ -426,15 +438,15 @@
                 let (held, reserved) = believed_weights(engine);
                 PlannedServer {
                     id: id.clone(),
-                    idle: idle && !engine.calling && !withdrawing(id),
+                    is_idle: idle && !engine.calling && !withdrawing(id),
                     held,
                     reserved,
                     in_host_memory: engine.in_host_memory.clone(),
                     on_disk: engine.on_disk.clone(),
-                    fresh: fresh_models(engine, now),
-                    leaving: leaving_weights(engine, &state.withdrawals),
-                    loading_left: engine.ledger.time_left(now),
-                    promised: engine.promised.clone(),
+                    recently_loaded: fresh_models(engine, now),
+                    unloading: leaving_weights(engine, &state.withdrawals),
+                    load_time_left: engine.ledger.time_left(now),
+                    pending_load: engine.promised.clone(),
                 }
             })
             .collect();
@@ -453,7 +465,7 @@
     let action = format!("{:?}", planned.order.action);
     let model = &*planned.order.weights.model;
     let makes_room_for = planned.makes_room_for.as_deref().unwrap_or("-");
-    let takes_millis = planned.takes.as_millis() as u64;
+    let takes_millis = planned.expected_duration.as_millis() as u64;
     let from_store = planned.from_store;
     info!("[leader] a move is planned", kv: { server, action, model, makes_room_for, from_store, takes_millis, loads_left });
 }
--- a/crates/cometmoor-gateway/src/forward/tenant.rs
+++ b/crates/cometmoor-gateway/src/forward/tenant.rs
@@ -28,7 +28,7 @@
 /// Decides by the configuration in force whether a request of a route may run.
 pub fn access_to(fleet: &Published, route: &Route, facts: &RequestFacts) -> Access {
     let tenants = fleet.configuration.as_ref().and_then(|known| known.tenants.as_deref());
-    access(tenants, route, facts.key, fleet.key_knowledge())
+    access(tenants, route, facts.key, fleet.key_freshness())
 }
 
 impl Forward<'_> {
@@ -72,7 +72,7 @@
 
     /// Gives back what the request was charged, if no server can have run it.
     pub(super) fn give_quota_back(&self) {
-        if self.attempts.get().may_say_not_run()
+        if self.attempts.get().is_known_not_run()
             && let Some(tenant) = self.charged.take()
         {
             self.traffic.quota.give_back(&tenant, self.facts.tokens());
--- a/crates/cometmoor-gateway/src/published.rs
+++ b/crates/cometmoor-gateway/src/published.rs
@@ -10,7 +10,7 @@
 use cometmoor_core::gateway::proof::ProofLimits;
 use cometmoor_core::gateway::registry::ServerRecord;
 use cometmoor_core::gateway::signals::IncarnationHash;
-use cometmoor_core::keys::KeyKnowledge;
+use cometmoor_core::keys::KeyFreshness;
 use cometmoor_core::time::BootInstant;
 use tokio::sync::Notify;
 
@@ -100,13 +100,13 @@
     /// Whether the configuration is the store's newest, so that what it lacks does not
     /// exist.
     pub fn configuration_is_current(&self) -> bool {
-        !self.is_known_behind && self.proof_limits.tells_absence(self.proof_age())
+        !self.is_known_behind && self.proof_limits.proves_absence(self.proof_age())
     }
 
     /// What the configuration's keys are good for now.
-    pub fn key_knowledge(&self) -> KeyKnowledge {
-        let knowledge = self.proof_limits.key_knowledge(self.proof_age());
-        KeyKnowledge { denies: knowledge.denies && !self.is_known_behind, ..knowledge }
+    pub fn key_freshness(&self) -> KeyFreshness {
+        let knowledge = self.proof_limits.key_freshness(self.proof_age());
+        KeyFreshness { denies: knowledge.denies && !self.is_known_behind, ..knowledge }
     }
 
     /// Name of a server's incarnation, where it is in the registry.
