--- a/crates/cometmoor-core/src/gateway/quarantine.rs
+++ b/crates/cometmoor-core/src/gateway/quarantine.rs
@@ -1,16 +1,17 @@
-//! Requests that crash the servers that run them (queries of death).
+//! Quarantine for requests that crash the servers that process them (queries of death).
 //!
-//! When a server crashes, every request that was there is a suspect: nothing tells which
-//! one crashed it. Content that was present at the crashes of [`CRASH_LIMIT`] servers is
-//! quarantined: no server gets it for [`QUARANTINE_LIFETIME`]. Content that a server has
-//! answered since, or a moment before, is cleared: it only ran beside the one that
-//! crashed the server.
+//! When a server crashes, every request in flight on it is a suspect, because nothing shows
+//! which one caused the crash. Content that was in flight during the crashes of
+//! [`CRASH_LIMIT`] servers is quarantined: it is sent to no server for
+//! [`QUARANTINE_LIFETIME`]. Content that a server has answered since the crash, or shortly
+//! before it, is cleared, because it was only in flight beside the request that caused the
+//! crash.
 //!
-//! Nodes send one another what they learn, a bounded number of records with each message,
-//! so that a request that is repeated at any node is known there. Of twelve servers all
-//! crashed under a request that came four times a second at two nodes; with this, three
-//! (loopback, `platform/tests/query_of_death.rs`). A request that runs beside a crash is
-//! blamed once for it: callers that retry once never reach three.
+//! Nodes share their records, a bounded number per message, so that a request that is retried
+//! at any node is recognized there. Without this, a request that arrived four times a second
+//! at two nodes crashed all of twelve servers; with it, three (loopback,
+//! `platform/tests/query_of_death.rs`). A request is blamed once for each crash that it is
+//! in flight during, so a client that retries once never reaches the limit of three.
 
 use std::cmp::Reverse;
 use std::collections::{HashMap, VecDeque};
@@ -20,36 +21,37 @@
 
 use crate::time::Timestamp;
 
-/// Servers that crash under a request before it is quarantined. With two, a caller that
-/// retries once and is unlucky twice would be refused; each further one costs a server.
+/// Number of server crashes after which content is quarantined. With two, a client that
+/// retries once and is in flight during two unrelated crashes would be refused; each crash
+/// above that costs another server.
 pub const CRASH_LIMIT: usize = 3;
-/// Time for which content is quarantined after the last server has crashed under it. A
-/// caller that still sends it afterwards costs one server more.
+/// Time for which content stays quarantined after its last crash. A client that still sends
+/// it afterwards crashes one more server.
 pub const QUARANTINE_LIFETIME: Duration = Duration::from_secs(600);
-/// Time for which suspects, and content that was quarantined, are remembered.
-const REMEMBERED_FOR: Duration = Duration::from_secs(1200);
-/// Time for which it is remembered that a suspect was cleared: what other nodes still
-/// report of it is older.
-const CLEARED_FOR: Duration = Duration::from_secs(60);
-/// Time for which an answer clears content at whose server a crash follows: what many
-/// callers ask for is answered somewhere every moment.
-const ANSWER_CLEARS_FOR: Duration = Duration::from_secs(10);
-/// Answers that are remembered: a node of 5 requests/s, as at the size to design for,
-/// needs 50.
-const MOST_ANSWERED: usize = 2048;
-/// Records that are held: 300 servers that crash at once with 12 requests each. One takes
-/// some 150 bytes.
-const MOST_RECORDS: usize = 4096;
-/// Records in one message: 1.2 KB at the most.
-const MOST_REPORTED: usize = 40;
-/// Messages that carry a record after it has changed. Of datagrams one in twenty may be
-/// lost, and hubs pass on what they are sent.
-const REPORTS: u32 = 12;
-/// The same for a first crash: nearly all of those contents only ran beside another one,
-/// and a third of a large fleet's servers may crash at once.
-const REPORTS_OF_FIRST_CRASH: u32 = 4;
-
-/// Fingerprint of a request's content; equal on all nodes for equal contents.
+/// Time for which records of suspects and of formerly quarantined content are kept.
+const RECORD_RETENTION: Duration = Duration::from_secs(1200);
+/// Time for which it is kept that a suspect was cleared, so that older reports of other nodes
+/// do not make it a suspect again.
+const CLEARED_RETENTION: Duration = Duration::from_secs(60);
+/// Time for which an answer clears content of crashes that follow it. Content that many
+/// clients request is answered by some server all the time.
+const ANSWER_VALIDITY: Duration = Duration::from_secs(10);
+/// Maximum number of answers kept. A node with 5 requests/s, the rate at the target fleet
+/// size, needs 50.
+const MAX_ANSWERS: usize = 2048;
+/// Maximum number of records: enough for 300 servers that crash at once with 12 requests
+/// each. A record takes about 150 bytes.
+const MAX_RECORDS: usize = 4096;
+/// Maximum number of reports in one message, which take at most 1.2 KB.
+const MAX_REPORTS_PER_MESSAGE: usize = 40;
+/// Number of messages that carry a record after it has changed. One datagram in twenty may
+/// be lost, and hubs forward the reports they receive.
+const REPORT_REPEATS: u32 = 12;
+/// The same for content with a single crash. Nearly all of it was only in flight beside the
+/// request that caused the crash, and a third of a large fleet's servers may crash at once.
+const FIRST_CRASH_REPORT_REPEATS: u32 = 4;
+
+/// Fingerprint of a request's content. Equal content has the same fingerprint on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
@@ -59,55 +61,57 @@
     }
 }
 
-/// Key of one incarnation of a server.
+/// Key that identifies one incarnation of a server.
 pub type IncarnationKey = u32;
 
-/// What a node reports of content that was present at crashes. Ages are in milliseconds.
+/// A node's report on content that was in flight during crashes. Ages are in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectReport {
-    /// The content.
+    /// Fingerprint of the content.
     pub content: Fingerprint,
-    /// Servers that crashed while it was there, and how long ago. Left out where the
+    /// Servers that crashed while it was in flight, and the ages of the crashes. Empty if the
     /// content is quarantined.
     pub crashes: Vec<(IncarnationKey, u32)>,
-    /// Age of the crash from which its quarantine counts.
+    /// Age of the crash that its quarantine is counted from; `None` if it is not quarantined.
     pub quarantined: Option<u32>,
-    /// Time since it was cleared.
+    /// Time since it was cleared; `None` if it was not.
     pub cleared: Option<u32>,
 }
 
-/// Whether content may be sent to a server.
+/// Whether content may be sent to servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// Nothing speaks against it, or not enough.
+    /// The content is not quarantined. It may still be a suspect.
     Allowed,
-    /// No server gets it for so long.
+    /// The content must not be sent to any server for the given remaining time.
     Quarantined(Duration),
 }
 
-/// What a crash means for content that was there.
+/// Consequence of a server crash for content that was in flight on the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashVerdict {
-    /// A server has answered it lately; it is not blamed.
+    /// A server has answered it recently, so it is not blamed.
     Cleared,
-    /// It was present at the crashes of so many servers.
+    /// It was in flight during the crashes of this number of servers, too few for a
+    /// quarantine.
     Suspect(usize),
-    /// No server gets it from now on.
+    /// It is quarantined from now on.
     Quarantined,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Record {
-    /// Servers that crashed while it was there, at most [`CRASH_LIMIT`], and when.
+    /// Servers that crashed while it was in flight, at most [`CRASH_LIMIT`], and when.
     crashes: Vec<(IncarnationKey, Timestamp)>,
-    /// The crash from which its quarantine counts.
+    /// Time that its quarantine is counted from: its last crash, or when it was restored.
     quarantined: Option<Timestamp>,
+    /// When it was last cleared.
     cleared: Option<Timestamp>,
-    /// Whether a crash that this node saw led to its quarantine.
+    /// Whether a crash that this node observed led to its quarantine.
     is_own: bool,
     /// Whether the store holds its quarantine.
     is_stored: bool,
-    /// Messages that are yet to carry the record.
+    /// Number of messages that are still to carry the record.
     reports_left: u32,
 }
 
@@ -120,20 +124,21 @@
         self.quarantined.is_some_and(|since| now.since(since) < QUARANTINE_LIFETIME)
     }
 
-    fn is_remembered(&self, now: Timestamp) -> bool {
-        let lately = |at: Option<Timestamp>, span| at.is_some_and(|at| now.since(at) < span);
-        lately(self.last_crash(), REMEMBERED_FOR) || lately(self.cleared, CLEARED_FOR)
+    fn is_retained(&self, now: Timestamp) -> bool {
+        let is_within = |at: Option<Timestamp>, span| at.is_some_and(|at| now.since(at) < span);
+        is_within(self.last_crash(), RECORD_RETENTION) || is_within(self.cleared, CLEARED_RETENTION)
     }
 
-    /// Drops crashes that are too long ago to be of one cause.
-    fn forget_old(&mut self, now: Timestamp) {
-        let is_old = |at: Timestamp| now.since(at) >= REMEMBERED_FOR;
-        self.crashes.retain(|(_, at)| !is_old(*at));
-        self.quarantined = self.quarantined.filter(|since| !is_old(*since));
+    /// Drops crashes that are too old to share a cause with new ones.
+    fn drop_expired(&mut self, now: Timestamp) {
+        let is_expired = |at: Timestamp| now.since(at) >= RECORD_RETENTION;
+        self.crashes.retain(|(_, at)| !is_expired(*at));
+        self.quarantined = self.quarantined.filter(|since| !is_expired(*since));
         self.is_stored &= self.quarantined.is_some();
     }
 
-    /// Adds the crash of a server; tells whether it was new.
+    /// Adds the crash of a server. Returns whether it was added: a crash that is known, that
+    /// precedes a clearing or that exceeds the limit is not.
     fn add_crash(&mut self, server: IncarnationKey, at: Timestamp) -> bool {
         let is_known = self.crashes.iter().any(|(known, _)| *known == server);
         let was_cleared = self.cleared.is_some_and(|cleared| cleared >= at);
@@ -144,7 +149,7 @@
         true
     }
 
-    /// Forgets all that happened up to then.
+    /// Clears the content of all crashes up to `at`.
     fn clear(&mut self, at: Timestamp) {
         self.cleared = self.cleared.max(Some(at));
         self.crashes.retain(|(_, crash)| *crash > at);
@@ -152,9 +157,9 @@
         self.is_stored &= self.quarantined.is_some();
     }
 
-    /// Quarantines it where enough servers have crashed. One that was quarantined before
-    /// is so again from its next crash on.
-    fn judge(&mut self) {
+    /// Quarantines the content if enough servers have crashed. Content that was quarantined
+    /// before is quarantined again by its next crash.
+    fn update_quarantine(&mut self) {
         if self.crashes.len() >= CRASH_LIMIT || self.quarantined.is_some() {
             self.quarantined = self.last_crash();
         }
@@ -167,10 +172,10 @@
         }
     }
 
-    /// Has the next messages carry it.
-    fn report_soon(&mut self) {
+    /// Includes the record in the next messages.
+    fn schedule_report(&mut self) {
         let is_first = self.quarantined.is_none() && self.crashes.len() == 1;
-        self.reports_left = if is_first { REPORTS_OF_FIRST_CRASH } else { REPORTS };
+        self.reports_left = if is_first { FIRST_CRASH_REPORT_REPEATS } else { REPORT_REPEATS };
     }
 
     fn report(&self, content: Fingerprint, now: Timestamp) -> SuspectReport {
@@ -185,23 +190,23 @@
     }
 }
 
-/// What a node knows of contents that were present at crashes.
+/// A node's records of content that was in flight during crashes.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     records: HashMap<Fingerprint, Record>,
-    /// Contents that were answered lately, and when last.
+    /// When recently answered content was last answered.
     answered: HashMap<Fingerprint, Timestamp>,
-    /// The same answers in order.
+    /// The same answers, oldest first.
     answers: VecDeque<(Fingerprint, Timestamp)>,
-    /// When a suspect was last blamed for a crash that this node saw.
+    /// When content was last blamed for a crash that this node observed.
     last_blamed: Option<Timestamp>,
-    /// Servers that broke a connection under content and of which it is not known yet
-    /// whether they crashed, by content.
-    unchecked: HashMap<Fingerprint, usize>,
+    /// Number of servers, by content, whose connection failed while it was in flight and for
+    /// which it is not yet known whether they crashed.
+    pending_checks: HashMap<Fingerprint, usize>,
 }
 
 impl Quarantine {
-    /// Whether content may be sent.
+    /// Whether content may be sent to servers at `now`.
     pub fn status(&self, content: Fingerprint, now: Timestamp) -> QuarantineStatus {
         let since = self.records.get(&content).and_then(|record| record.quarantined);
         match since.map(|since| QUARANTINE_LIFETIME.saturating_sub(now.since(since))) {
@@ -210,79 +215,80 @@
         }
     }
 
-    /// Notes that a server broke a connection under content; whether it crashed is not known.
+    /// Records that a server's connection failed while content was in flight and that it is
+    /// not yet known whether the server crashed.
     pub fn begin_crash_check(&mut self, content: Fingerprint) {
-        *self.unchecked.entry(content).or_default() += 1;
+        *self.pending_checks.entry(content).or_default() += 1;
     }
 
-    /// Notes that it is known whether one of those servers crashed.
+    /// Records that for one of these servers it is now known whether it crashed.
     pub fn end_crash_check(&mut self, content: Fingerprint) {
-        if let Some(open) = self.unchecked.get_mut(&content) {
-            *open -= 1;
-            if *open == 0 {
-                self.unchecked.remove(&content);
+        if let Some(pending) = self.pending_checks.get_mut(&content) {
+            *pending -= 1;
+            if *pending == 0 {
+                self.pending_checks.remove(&content);
             }
         }
     }
 
-    /// Whether content may have crashed enough servers to be quarantined, and it will be known
-    /// in a moment.
+    /// Whether the pending crash checks could bring content to the crash limit, so that a
+    /// decision on it is about to follow.
     pub fn is_decision_pending(&self, content: Fingerprint) -> bool {
-        let Some(open) = self.unchecked.get(&content) else { return false };
+        let Some(pending) = self.pending_checks.get(&content) else { return false };
         let crashed = self.records.get(&content).map_or(0, |record| record.crashes.len());
-        crashed + open >= CRASH_LIMIT
+        crashed + pending >= CRASH_LIMIT
     }
 
-    /// Notes that a server crashed while content was there.
+    /// Records that a server crashed while content was in flight on it.
     pub fn note_crash(
         &mut self,
         content: Fingerprint,
         server: IncarnationKey,
         now: Timestamp,
     ) -> CrashVerdict {
-        let was_answered = self.was_answered(content, now);
+        let recently_answered = self.recently_answered(content, now);
         let record = self.record(content, now);
-        if was_answered {
+        if recently_answered {
             record.clear(now);
-            record.report_soon();
+            record.schedule_report();
             return CrashVerdict::Cleared;
         }
         if record.quarantined.is_some() {
             record.quarantined = Some(now);
         }
         if record.add_crash(server, now) || record.quarantined.is_some() {
-            record.report_soon();
+            record.schedule_report();
         }
-        record.judge();
+        record.update_quarantine();
         record.is_own |= record.quarantined.is_some();
         let verdict = record.verdict(now);
         self.last_blamed = Some(now);
         verdict
     }
 
-    /// Notes that a server has answered content well; tells whether that cleared a
-    /// suspect.
+    /// Records that a server has answered content successfully. Returns whether that cleared
+    /// a suspect.
     pub fn note_answer(&mut self, content: Fingerprint, now: Timestamp) -> bool {
         self.answered.insert(content, now);
         self.answers.push_back((content, now));
-        self.forget_answers(now);
+        self.evict_answers(now);
         let Some(record) = self.records.get_mut(&content) else { return false };
         let was_suspect = record.last_crash().is_some();
         record.clear(now);
         if was_suspect {
-            record.report_soon();
+            record.schedule_report();
         }
         was_suspect
     }
 
-    fn was_answered(&self, content: Fingerprint, now: Timestamp) -> bool {
+    fn recently_answered(&self, content: Fingerprint, now: Timestamp) -> bool {
         let answered = self.answered.get(&content);
-        answered.is_some_and(|answered| now.since(*answered) < ANSWER_CLEARS_FOR)
+        answered.is_some_and(|answered| now.since(*answered) < ANSWER_VALIDITY)
     }
 
-    fn forget_answers(&mut self, now: Timestamp) {
+    fn evict_answers(&mut self, now: Timestamp) {
         while let Some((content, at)) = self.answers.front().copied() {
-            if self.answers.len() <= MOST_ANSWERED && now.since(at) < ANSWER_CLEARS_FOR {
+            if self.answers.len() <= MAX_ANSWERS && now.since(at) < ANSWER_VALIDITY {
                 return;
             }
             self.answers.pop_front();
@@ -292,18 +298,18 @@
         }
     }
 
-    /// Takes what another node reports; returns the contents that are quarantined by that
-    /// and were not before.
+    /// Merges the reports of another node. Returns the content that is newly quarantined by
+    /// them.
     pub fn merge(&mut self, reports: &[SuspectReport], now: Timestamp) -> Vec<Fingerprint> {
-        let reports = reports.iter().take(MOST_REPORTED);
+        let reports = reports.iter().take(MAX_REPORTS_PER_MESSAGE);
         let new = reports.filter(|report| self.merge_one(report, now));
         new.map(|report| report.content).collect()
     }
 
-    /// Takes one report; tells whether its content is quarantined now and was not before.
+    /// Merges one report. Returns whether it newly quarantined its content.
     fn merge_one(&mut self, report: &SuspectReport, now: Timestamp) -> bool {
         let at = |age: u32| Timestamp(now.0.saturating_sub(age.into()));
-        let was_answered = self.was_answered(report.content, now);
+        let recently_answered = self.recently_answered(report.content, now);
         let record = self.record(report.content, now);
         let was_quarantined = record.is_quarantined(now);
         let before = (record.crashes.len(), record.quarantined.is_some());
@@ -315,19 +321,20 @@
         }
         let reported = report.quarantined.map(at).filter(|since| Some(*since) > record.cleared);
         record.quarantined = record.quarantined.max(reported);
-        if was_answered && record.last_crash().is_some() {
+        if recently_answered && record.last_crash().is_some() {
             record.clear(now);
-            record.report_soon();
+            record.schedule_report();
             return false;
         }
-        record.judge();
+        record.update_quarantine();
         if before != (record.crashes.len(), record.quarantined.is_some()) {
-            record.report_soon();
+            record.schedule_report();
         }
         record.is_quarantined(now) && !was_quarantined
     }
 
-    /// Takes content that the store holds as quarantined; tells whether that is new.
+    /// Quarantines content that the store holds as quarantined, unless this node knows
+    /// that it was cleared. Returns whether it was not quarantined before.
     pub fn restore(&mut self, content: Fingerprint, now: Timestamp) -> bool {
         let record = self.record(content, now);
         if record.cleared.is_some() {
@@ -337,13 +344,13 @@
         let is_new = !record.is_quarantined(now);
         if is_new {
             record.quarantined = Some(now);
-            record.report_soon();
+            record.schedule_report();
         }
         is_new
     }
 
-    /// Contents that are quarantined, which the store does not hold yet: those by a crash
-    /// that this node saw, and all others where it writes for the fleet.
+    /// Quarantined content that the store does not hold yet: what is quarantined by a crash
+    /// that this node observed, and with `for_fleet` also what others reported.
     pub fn unstored(&self, for_fleet: bool, now: Timestamp) -> Vec<Fingerprint> {
         let is_unstored = |record: &Record| {
             record.is_quarantined(now) && !record.is_stored && (for_fleet || record.is_own)
@@ -352,20 +359,20 @@
         unstored.map(|(content, _)| *content).collect()
     }
 
-    /// Notes that the store holds the quarantine of content.
+    /// Records that the store holds the quarantine of content.
     pub fn note_stored(&mut self, content: Fingerprint) {
         if let Some(record) = self.records.get_mut(&content) {
             record.is_stored = record.quarantined.is_some();
         }
     }
 
-    /// Notes that the store may have lost what it held.
+    /// Marks all records as not stored, because the store may have lost them.
     pub fn clear_stored(&mut self) {
         self.records.values_mut().for_each(|record| record.is_stored = false);
     }
 
-    /// What the next message to other nodes carries: what has changed lately, first what
-    /// is quarantined, then what was present at most crashes.
+    /// The reports for the next message to other nodes: records that have changed recently,
+    /// quarantined ones first, then those with the most crashes.
     pub fn next_reports(&mut self, now: Timestamp) -> Vec<SuspectReport> {
         let changed = self.records.iter_mut().filter(|(_, record)| record.reports_left > 0);
         let mut changed: Vec<(Fingerprint, &mut Record)> =
@@ -374,7 +381,7 @@
             let suspicion = (record.quarantined.is_some(), record.crashes.len());
             (Reverse((suspicion, record.reports_left)), *content)
         });
-        changed.truncate(MOST_REPORTED);
+        changed.truncate(MAX_REPORTS_PER_MESSAGE);
         let report = |(content, record): (Fingerprint, &mut Record)| {
             record.reports_left -= 1;
             record.report(content, now)
@@ -382,44 +389,47 @@
         changed.into_iter().map(report).collect()
     }
 
-    /// Reports again what is quarantined or was present at two crashes, because a node has
-    /// come that lacks it. What was present at one, it learns at the next crash.
+    /// Schedules all records that are quarantined or have at least two crashes to be
+    /// reported again, for a node that has joined without them. It learns of content with one
+    /// crash at the next crash.
     pub fn report_again(&mut self) {
-        let is_wanted =
+        let is_reported_again =
             |record: &&mut Record| record.quarantined.is_some() || record.crashes.len() > 1;
-        self.records.values_mut().filter(is_wanted).for_each(Record::report_soon);
+        self.records.values_mut().filter(is_reported_again).for_each(Record::schedule_report);
     }
 
-    /// When content was last blamed for a crash that this node saw.
+    /// When content was last blamed for a crash that this node observed; `None` if it never
+    /// was.
     pub fn last_blamed(&self) -> Option<Timestamp> {
         self.last_blamed
     }
 
-    /// Records: of contents that are quarantined, and of all others.
+    /// Number of records of quarantined content, and number of all other records.
     pub fn counts(&self, now: Timestamp) -> (usize, usize) {
         let records = self.records.values();
         let quarantined = records.filter(|record| record.is_quarantined(now)).count();
         (quarantined, self.records.len() - quarantined)
     }
 
-    /// The record of content. The least suspect one gives way where there are too many.
+    /// Returns the record of content, creating it if there is none. At the limit, expired
+    /// records are removed, or else the least suspect one.
     fn record(&mut self, content: Fingerprint, now: Timestamp) -> &mut Record {
-        if !self.records.contains_key(&content) && self.records.len() >= MOST_RECORDS {
-            self.records.retain(|_, record| record.is_remembered(now));
-            if self.records.len() >= MOST_RECORDS {
-                self.drop_least_suspect();
+        if !self.records.contains_key(&content) && self.records.len() >= MAX_RECORDS {
+            self.records.retain(|_, record| record.is_retained(now));
+            if self.records.len() >= MAX_RECORDS {
+                self.evict_least_suspect();
             }
         }
         let record = self.records.entry(content).or_default();
-        record.forget_old(now);
+        record.drop_expired(now);
         record
     }
 
-    fn drop_least_suspect(&mut self) {
+    fn evict_least_suspect(&mut self) {
         let suspicion =
             |record: &Record| (record.quarantined, record.crashes.len(), record.last_crash());
-        let least = self.records.iter().min_by_key(|(_, record)| suspicion(record));
-        if let Some(content) = least.map(|(content, _)| *content) {
+        let least_suspect = self.records.iter().min_by_key(|(_, record)| suspicion(record));
+        if let Some(content) = least_suspect.map(|(content, _)| *content) {
             self.records.remove(&content);
         }
     }
