--- a/crates/cometmoor-core/src/gateway/registry.rs
+++ b/crates/cometmoor-core/src/gateway/registry.rs
@@ -1,30 +1,31 @@
-//! Servers of the fleet, as the registry in the store tells of them.
+//! Servers of the fleet as recorded in the registry of the store.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Whether a server takes new work.
+/// Whether a server accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// It takes work.
+    /// It accepts new work.
     Ready,
-    /// It is about to leave and must get no new work.
+    /// It is about to leave and must not get new work.
     Draining,
 }
 
-/// A model that a server holds.
+/// A model that a server has loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadedModel {
     /// Name of the model.
     pub name: String,
-    /// Names of its adapters that the server holds.
+    /// Names of its adapters that the server has loaded.
     pub adapters: Vec<String>,
 }
 
-/// Name of one incarnation of a server: its identifier, and when the process began,
-/// if the server tells that. A server may start again under the identifier it had; it
-/// then holds nothing, and no order, count or connection of before is its own.
+/// Name of one incarnation of a server: its identifier, and the start time of its process if
+/// the server reports one. A server may restart under the same identifier. It then has nothing
+/// loaded, and the orders, counts and connections of the previous incarnation do not apply to
+/// it.
 pub fn incarnation_name(id: &str, started_unix_ms: Option<u64>) -> Arc<str> {
     match started_unix_ms {
         Some(started_unix_ms) => format!("{id}@{started_unix_ms}").into(),
@@ -35,63 +36,66 @@
 /// One incarnation of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerRecord {
-    /// Identifier of the server, by which it is addressed. No two servers have the
-    /// same, but a server may start again under the one it had.
+    /// Identifier by which the server is addressed. It is unique among running servers, but a
+    /// server may restart under the same identifier.
     pub id: Arc<str>,
-    /// When the process began, in Unix milliseconds; none where it does not tell.
+    /// Start time of the process, in Unix milliseconds; `None` if the server does not report
+    /// it.
     pub started_unix_ms: Option<u64>,
-    /// Name of the incarnation ([`incarnation_name`]): what is known of a server is
-    /// kept under this name.
+    /// Name of the incarnation ([`incarnation_name`]), the key for all state that is kept about
+    /// a server.
     pub incarnation: Arc<str>,
-    /// Service that it belongs to.
+    /// Name of the service that it belongs to.
     pub service: String,
-    /// Address; another server may get it later.
+    /// Address, which another server may use later.
     pub address: SocketAddrV4,
-    /// Zone that it stands in.
+    /// Zone that it runs in.
     pub zone: String,
     /// Version of its software.
     pub software: String,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: ServerState,
-    /// Models in its accelerators' memory.
+    /// Models loaded into the memory of its accelerators.
     pub models: Vec<LoadedModel>,
-    /// Models whose weights it keeps in host memory.
+    /// Names of the models whose weights are in host memory.
     pub in_host_memory: Vec<String>,
-    /// Models whose weights it keeps on disk.
+    /// Names of the models whose weights are on disk.
     pub on_disk: Vec<String>,
-    /// Time until it is gone, if it told one.
+    /// Time until it terminates; `None` if it has not announced that.
     pub remaining: Option<Duration>,
-    /// Counts what the process has written of itself.
+    /// Number of times that the process has written its record; later records have greater
+    /// numbers.
     pub write_number: u64,
 }
 
 /// A server's entry in the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// Revision of its last change, in the store's era.
+    /// Revision of its last change, in the era of the store.
     pub revision: u64,
-    /// Revision at which it was created, in the store's era.
+    /// Revision at which it was created, in the era of the store.
     pub create_revision: u64,
-    /// What it tells.
+    /// Content of the entry.
     pub record: Arc<ServerRecord>,
 }
 
 impl ServerRecord {
-    /// Whether this entry tells of a later process than another one, which was made
-    /// before it where either does not tell when its process began.
-    pub fn is_later_than(&self, other: &ServerRecord, was_made_later: bool) -> bool {
+    /// Whether this record is of a later process than `other`. If either does not report the
+    /// start time of its process, `was_created_later` decides: whether this record was created
+    /// after the other one.
+    pub fn is_later_than(&self, other: &ServerRecord, was_created_later: bool) -> bool {
         match (self.started_unix_ms, other.started_unix_ms) {
             (Some(started_unix_ms), Some(other)) if started_unix_ms != other => {
                 started_unix_ms > other
             }
-            _ => was_made_later,
+            _ => was_created_later,
         }
     }
 
-    /// The model, if the server holds it.
+    /// The loaded model with this name; `None` if the server has not loaded it.
     pub fn loaded_model(&self, model: &str) -> Option<&LoadedModel> {
-        self.models.iter().find(|held| held.name == model)
+        self.models.iter().find(|loaded| loaded.name == model)
     }
 }
--- a/crates/cometmoor-core/src/gateway/store_position.rs
+++ b/crates/cometmoor-core/src/gateway/store_position.rs
@@ -1,49 +1,48 @@
-//! Points in the history of the store, which may come back from an older copy.
+//! Positions in the history of the store, which may be restored from an older backup.
 //!
-//! Revisions count the store's changes. A store that is restored from a copy gives some of
-//! them out again, so that a revision tells what was there only together with the era
-//! that it was counted in.
+//! Revisions count the store's changes. A store that is restored from a backup assigns some
+//! revisions again, so that a revision identifies a state only together with its era.
 
 use serde::{Deserialize, Serialize};
 
-/// Bits of a fencing token below the era. A restore has to lose fewer changes than they
-/// count, or tokens would fall.
+/// Number of bits of a fencing token below the era number. Tokens keep increasing as long as
+/// a restore loses fewer changes than these bits can count.
 const TOKEN_REVISION_BITS: u32 = 32;
 
-/// The span between two restores of the store. Later ones are greater.
+/// The period between two restores of the store. Later eras compare as greater.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct StoreEra {
-    /// Number that the store gives with its answers; 0 where it gives none.
+    /// Number that the store sends with its answers; 0 if it sends none.
     number: u32,
-    /// Losses that were noticed since without a new number.
+    /// Number of losses detected since then without a new number.
     unannounced: u32,
 }
 
 impl StoreEra {
-    /// The era that the store numbers so.
+    /// The era with the number that the store sends.
     pub fn numbered(number: u32) -> StoreEra {
         StoreEra { number, unannounced: 0 }
     }
 
-    /// The number that the store gives with its answers.
+    /// The number that the store sends with its answers; 0 if it sends none.
     pub fn number(self) -> u32 {
         self.number
     }
 
-    /// Whether the store counted no other era between an earlier one and this.
+    /// Whether this era is the next one after `earlier` by the store's numbers.
     pub fn follows(self, earlier: StoreEra) -> bool {
         self.number == earlier.number + 1
     }
 
-    /// The era after a loss that no new number tells of.
+    /// The era after a loss that the store did not announce with a new number.
     pub fn after_unannounced_loss(self) -> StoreEra {
         StoreEra { unannounced: self.unannounced + 1, ..self }
     }
 
-    /// Token of orders under a lease that was written at a revision of this era. It is higher
-    /// than that of any earlier era.
+    /// Fencing token of orders under a lease that was written at `revision` of this era. It is
+    /// greater than the tokens of all earlier era numbers.
     pub fn fencing_token(self, revision: u64) -> u64 {
         (u64::from(self.number) << TOKEN_REVISION_BITS).saturating_add(revision)
     }
@@ -64,37 +63,38 @@
     }
 }
 
-/// What an answer's era is to the eras that a node has heard of.
+/// How the era of an answer relates to the eras that a node knows of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerEra {
-    /// It is the newest.
+    /// It is the newest known era.
     Newest(StoreEra),
-    /// It is newer than all others.
+    /// It is newer than all known eras.
     New {
         /// The new era.
         era: StoreEra,
-        /// The newest one until now; none where none was known.
+        /// The newest known era before it; `None` if none was known.
         before: Option<StoreEra>,
     },
-    /// It is over: what the answer tells may have been lost since.
+    /// It has ended: the content of the answer may have been lost since.
     Past(StoreEra),
 }
 
-/// The newest era that a node has heard of.
+/// The newest era that a node knows of.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KnownEra {
     newest: Option<StoreEra>,
 }
 
 impl KnownEra {
-    /// The newest era; the first of a store that numbers none where none was heard of.
+    /// The newest known era; the first era of a store without numbers if none is known.
     pub fn newest(&self) -> StoreEra {
         self.newest.unwrap_or_default()
     }
 
-    /// Takes the number that came with an answer of the store, to a call that was made when
-    /// `newest_then` was the newest era. Where the number does not tell eras apart, an answer
-    /// is of the newest one if that was known then, and may be of an earlier one if not.
+    /// Records the number that came with an answer of the store to a call that was made when
+    /// `newest_then` was the newest known era. If the number does not distinguish eras, the
+    /// answer belongs to the newest era if that was known at the call, and otherwise may belong
+    /// to an earlier one.
     pub fn note_answer(&mut self, number: Option<u32>, newest_then: StoreEra) -> AnswerEra {
         let newest = self.newest();
         match number {
@@ -105,9 +105,9 @@
         }
     }
 
-    /// Places what was read of everything, of a point by the answers' numbers, when `known`
-    /// was the point of the copy before the question. The store's answers are as new as all
-    /// before them: one that is older shows a loss without a new number.
+    /// Determines the era of a full read at position `read`, as numbered by the store's answers,
+    /// where `known` was the position of the copy before the call. The store never answers with
+    /// an older state than before, so that a lower revision shows a loss without a new number.
     pub fn classify_read(&mut self, read: StorePosition, known: StorePosition) -> AnswerEra {
         if read.era != known.era || read.revision >= known.revision {
             return AnswerEra::Newest(read.era);
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Takes an era that another node has heard of.
+    /// Records an era that another node reports.
     pub fn note(&mut self, era: StoreEra) -> AnswerEra {
         match self.newest {
             Some(newest) if era == newest => AnswerEra::Newest(era),
@@ -131,14 +131,14 @@
     }
 }
 
-/// A point in the store's history. Later ones are greater.
+/// A position in the store's history. Later positions compare as greater.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct StorePosition {
-    /// The era.
+    /// Era in which the revision was counted.
     pub era: StoreEra,
-    /// The revision, which counts the changes up to here.
+    /// Revision, which counts the changes up to this position.
     pub revision: u64,
 }
 
@@ -148,7 +148,7 @@
     }
 }
 
-/// A text names no point in the store's history.
+/// The text is not a valid [`StorePosition`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParseStorePositionError;
 
