--- a/crates/cometmoor-core/src/gateway/leadership.rs
+++ b/crates/cometmoor-core/src/gateway/leadership.rs
@@ -73,7 +73,7 @@
     pub holder: Option<&'a str>,
     /// Node that was leader last; `None` if none is recorded.
     pub last: Option<&'a str>,
-    /// Whether that node has waited out the handover delay after its predecessor.
+    /// Whether that node no longer has to wait for the orders of its predecessor to end.
     pub last_has_waited: bool,
 }
 
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Ends the term.
+    /// Ends the term, also one that the store has lost.
     pub fn resign(&mut self) {
         self.term = None;
         self.lost_term = None;
--- a/crates/cometmoor-core/src/gateway/restored_registry.rs
+++ b/crates/cometmoor-core/src/gateway/restored_registry.rs
@@ -93,7 +93,7 @@
         self.removed.extend(servers.take(room).map(|server| (server.clone(), now)));
     }
 
-    /// Whether a restore is pending, so that the servers to use also change with time.
+    /// Whether a restore was so recent that the servers to use change with time.
     pub fn awaits_rewrites(&self) -> bool {
         self.restore.is_some()
     }
--- a/crates/cometmoor-core/tests/gateway_leadership.rs
+++ b/crates/cometmoor-core/tests/gateway_leadership.rs
@@ -1,5 +1,5 @@
-//! No schedule of pauses, lost renewals and late orders lets two nodes order
-//! a server within the quiet time of each other.
+//! Under pauses, lost renewals, late orders and restores of the store, no two nodes send orders
+//! within less than the lease of each other.
 
 mod schedules;
 
@@ -22,39 +22,39 @@
     order_timeout: Duration::from_millis(800),
 };
 
-/// Milliseconds for which a system that starts for the first time is known to be fresh.
-const FRESH_FOR: u64 = 5_000;
+/// Time in milliseconds after its first start for which a fleet is known to be new.
+const NEW_FLEET_MILLIS: u64 = 5_000;
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Step {
     /// Time passes.
     Pass { tenths: u8 },
-    /// A moment passes.
+    /// A short time passes.
     PassBriefly { hundredths: u8 },
-    /// A node asks who leads, and writes the keys if it may, at once or by a later step; its
-    /// calls take a while to reach the store.
-    Campaign { node: u8, on_the_way: u8, writes_at_once: bool },
-    /// A node that asked writes the keys; the store's answer may be lost.
-    Write { node: u8, on_the_way: u8, answered: bool },
-    /// The node's process ends; another one starts, which knows nothing.
+    /// A node reads the leadership keys and writes them if it may, at once or by a later step.
+    /// Its calls take a while to reach the store.
+    Campaign { node: u8, delay: u8, writes_at_once: bool },
+    /// A candidate writes the keys. The store's answer may be lost.
+    Write { node: u8, delay: u8, answered: bool },
+    /// The node's process restarts and has lost its state.
     Restart { node: u8 },
-    /// A node renews; the call may be slow, or its answer lost.
-    Renew { node: u8, on_the_way: u8, answered: bool },
-    /// A node that may order notes that it has waited.
+    /// A node renews its lease. The call may be slow, or its answer may be lost.
+    Renew { node: u8, delay: u8, answered: bool },
+    /// A node that may send orders records in the store that it has waited.
     NoteWait { node: u8 },
-    /// A node orders a server; the order arrives after a while.
-    Order { node: u8, on_the_way: u8 },
-    /// The store comes back from a copy that lacks so many of its changes.
+    /// A node sends an order, which arrives after a while.
+    Order { node: u8, delay: u8 },
+    /// The store is restored from a backup that lacks the given number of changes.
     Restore { changes: u8 },
 }
 
-/// The store's side of the lease, in its era.
+/// The leadership keys in the store, in its era.
 #[derive(Default)]
 struct Store {
     era: u32,
-    /// Node, end of its lease, revision of the key.
+    /// Holder, end of its lease, and revision of the key.
     holder: Option<(usize, u64, u64)>,
-    /// Node, revision of the key, whether the node has waited.
+    /// Last leader, revision of the key, and whether the leader has waited.
     last: Option<(usize, u64, bool)>,
     revision: u64,
 }
@@ -64,14 +64,14 @@
         StoreEra::numbered(self.era)
     }
 
-    /// Revisions of both keys as conditions name them.
+    /// Revisions of both keys, as compared by the transaction; 0 if a key does not exist.
     fn revisions(&self, now: u64) -> (u64, u64) {
         let holder = self.holder.filter(|(_, until, _)| now < *until);
         (holder.map_or(0, |(_, _, at)| at), self.last.map_or(0, |(_, at, _)| at))
     }
 }
 
-/// What a node that campaigns was told.
+/// State of the store that a candidate has read.
 #[derive(Clone, Copy)]
 struct Candidate {
     era: StoreEra,
@@ -84,9 +84,9 @@
     /// Era in which its lease was granted.
     lease_era: StoreEra,
     candidate: Option<Candidate>,
-    /// Era that its process first heard of.
+    /// First era that its process learned of.
     first_era: Option<StoreEra>,
-    /// Whether its process began with the fleet.
+    /// Whether its process started with the fleet.
     is_first_process: bool,
 }
 
@@ -108,7 +108,7 @@
     now: u64,
     store: Store,
     nodes: Vec<Node>,
-    /// Arrival, node and token of each order.
+    /// Arrival time, sender and fencing token of each order.
     orders: Vec<(u64, usize, u64)>,
 }
 
@@ -116,9 +116,9 @@
     usize::from(index) % NODES
 }
 
-/// A call is on its way for up to half of an order's time.
-fn way(on_the_way: u8) -> u64 {
-    u64::from(on_the_way) * TIMES.order_timeout.as_millis() as u64 / 512
+/// Network delay in milliseconds: up to half of the order timeout.
+fn network_delay(delay: u8) -> u64 {
+    u64::from(delay) * TIMES.order_timeout.as_millis() as u64 / 512
 }
 
 impl World {
@@ -136,9 +136,9 @@
         self.now + TIMES.lease.as_millis() as u64
     }
 
-    fn campaign(&mut self, index: usize, on_the_way: u64) {
-        self.now += on_the_way;
-        let standing = LeadershipState {
+    fn campaign(&mut self, index: usize, delay: u64) {
+        self.now += delay;
+        let state = LeadershipState {
             holder: self.holder().map(|holder| NAMES[holder]),
             last: self.store.last.map(|(last, ..)| NAMES[last]),
             last_has_waited: self.store.last.is_some_and(|(.., has_waited)| has_waited),
@@ -146,19 +146,21 @@
         let (era, revisions) = (self.store.era(), self.store.revisions(self.now));
         let node = &mut self.nodes[index];
         let first_era = *node.first_era.get_or_insert(era);
-        let knowledge = CandidateContext {
-            fleet_began_in_era: node.is_first_process && first_era == era && self.now < FRESH_FOR,
+        let context = CandidateContext {
+            fleet_began_in_era: node.is_first_process
+                && first_era == era
+                && self.now < NEW_FLEET_MILLIS,
             own_term_runs: node.leadership.lost_term_runs(era, Timestamp(self.now)),
         };
-        let predecessor = candidacy(NAMES[index], &standing, knowledge);
+        let predecessor = candidacy(NAMES[index], &state, context);
         node.candidate = predecessor.map(|predecessor| Candidate { era, revisions, predecessor });
-        self.now += on_the_way;
+        self.now += delay;
     }
 
-    fn write(&mut self, index: usize, on_the_way: u64, answered: bool) {
+    fn write(&mut self, index: usize, delay: u64, answered: bool) {
         let Some(candidate) = self.nodes[index].candidate.take() else { return };
         let sent = self.now;
-        self.now += on_the_way;
+        self.now += delay;
         if candidate.era != self.store.era()
             || candidate.revisions != self.store.revisions(self.now)
         {
@@ -168,7 +170,7 @@
         let revision = self.store.revision;
         self.store.last = Some((index, revision, !candidate.predecessor.may_still_order()));
         self.store.holder = Some((index, self.lease_end(), revision));
-        self.now += on_the_way;
+        self.now += delay;
         if !answered {
             return;
         }
@@ -178,18 +180,18 @@
         node.leadership.acquire(token, Timestamp(sent), now, candidate.predecessor);
     }
 
-    fn renew(&mut self, index: usize, on_the_way: u64, answered: bool) {
+    fn renew(&mut self, index: usize, delay: u64, answered: bool) {
         let sent = self.now;
-        self.now += on_the_way;
+        self.now += delay;
         let era = self.store.era();
         let lease_era = self.nodes[index].lease_era;
-        let goes_on = self.holder() == Some(index) && era == lease_era;
-        if let (true, Some((_, _, revision))) = (goes_on, self.store.holder) {
+        let is_valid = self.holder() == Some(index) && era == lease_era;
+        if let (true, Some((_, _, revision))) = (is_valid, self.store.holder) {
             self.store.holder = Some((index, self.lease_end(), revision));
         }
-        self.now += on_the_way;
+        self.now += delay;
         let leadership = &mut self.nodes[index].leadership;
-        match (goes_on, answered) {
+        match (is_valid, answered) {
             (_, false) => {}
             (true, true) => leadership.renew(Timestamp(sent), Timestamp(self.now)),
             (false, true) if era != lease_era => leadership.note_store_loss(lease_era),
@@ -201,40 +203,40 @@
         match step {
             Step::Pass { tenths } => self.now += u64::from(tenths) * 100,
             Step::PassBriefly { hundredths } => self.now += u64::from(hundredths) * 10,
-            Step::Campaign { node: index, on_the_way, writes_at_once } => {
-                self.campaign(node(index), way(on_the_way));
+            Step::Campaign { node: index, delay, writes_at_once } => {
+                self.campaign(node(index), network_delay(delay));
                 if writes_at_once {
-                    self.write(node(index), way(on_the_way), true);
+                    self.write(node(index), network_delay(delay), true);
                 }
             }
-            Step::Write { node: index, on_the_way, answered } => {
-                self.write(node(index), way(on_the_way), answered);
+            Step::Write { node: index, delay, answered } => {
+                self.write(node(index), network_delay(delay), answered);
             }
             Step::Restart { node: index } => self.nodes[node(index)] = Node::new(false),
-            Step::Renew { node: index, on_the_way, answered } => {
-                self.renew(node(index), way(on_the_way), answered);
+            Step::Renew { node: index, delay, answered } => {
+                self.renew(node(index), network_delay(delay), answered);
             }
             Step::NoteWait { node: index } => {
                 let index = node(index);
                 let may_order =
                     self.nodes[index].leadership.fencing_token(Timestamp(self.now)).is_some();
-                let is_its_own = self.nodes[index].lease_era == self.store.era();
-                if may_order && is_its_own && self.holder() == Some(index) {
+                let is_current_era = self.nodes[index].lease_era == self.store.era();
+                if may_order && is_current_era && self.holder() == Some(index) {
                     self.store.revision += 1;
                     self.store.last = Some((index, self.store.revision, true));
                 }
             }
-            Step::Order { node: index, on_the_way } => {
+            Step::Order { node: index, delay } => {
                 let sender = node(index);
                 if let Some(token) =
                     self.nodes[sender].leadership.fencing_token(Timestamp(self.now))
                 {
-                    self.orders.push((self.now + way(on_the_way) * 2, sender, token));
+                    self.orders.push((self.now + network_delay(delay) * 2, sender, token));
                 }
             }
-            // The very first start of a system does not coincide with a restore: a node that
-            // has heard from nobody before it would not know of it.
-            Step::Restore { .. } if self.now < FRESH_FOR => {}
+            // The first start of a fleet does not coincide with a restore. A node that has no
+            // information from before the restore could not detect it.
+            Step::Restore { .. } if self.now < NEW_FLEET_MILLIS => {}
             Step::Restore { changes } => {
                 self.store = Store {
                     era: self.store.era + 1,
@@ -250,17 +252,20 @@
         for pair in self.orders.windows(2) {
             let ((earlier, first, low), (later, second, high)) = (pair[0], pair[1]);
             if first != second {
-                assert!(low < high, "token {high} follows {low}");
+                assert!(low < high, "order with token {high} arrives after one with token {low}");
                 let between = later - earlier;
                 let bound = TIMES.lease.as_millis() as u64;
-                assert!(between >= bound, "nodes {first} and {second} within {between} ms");
+                assert!(
+                    between >= bound,
+                    "orders of nodes {first} and {second} within {between} ms"
+                );
             }
         }
     }
 }
 
 #[test]
-fn two_nodes_never_take_turns() {
+fn orders_of_two_nodes_never_interleave() {
     for_each_schedule::<Step>(CASES, |steps| {
         let mut world = World::new();
         for step in steps {
@@ -271,7 +276,7 @@
 }
 
 #[test]
-fn a_node_that_was_paused_past_its_lease_does_not_order() {
+fn a_node_paused_past_its_lease_sends_no_orders() {
     let mut leader = Leadership::new(TIMES);
     leader.acquire(7, Timestamp(0), Timestamp(10), Predecessor::Nobody);
     assert_eq!(leader.fencing_token(Timestamp(100)), Some(7));
@@ -280,13 +285,17 @@
         None,
         "the order could arrive after the lease"
     );
-    assert!(!leader.leads(Timestamp(2700)), "a tenth of the lease stays unused");
+    assert!(!leader.leads(Timestamp(2700)), "a tenth of the lease is a safety margin");
     leader.renew(Timestamp(2690), Timestamp(2800));
-    assert_eq!(leader.fencing_token(Timestamp(2801)), None, "a term that is over stays over");
+    assert_eq!(
+        leader.fencing_token(Timestamp(2801)),
+        None,
+        "a renewal does not resume a term that has ended"
+    );
 }
 
 #[test]
-fn a_successor_waits_before_its_first_order() {
+fn a_successor_waits_for_the_handover_delay() {
     let mut successor = Leadership::new(TIMES);
     successor.acquire(8, Timestamp(0), Timestamp(20), Predecessor::OtherNode);
     assert!(successor.leads(Timestamp(30)));
@@ -297,10 +306,10 @@
 }
 
 #[test]
-fn only_a_node_that_led_last_may_lead_again_before_its_lease_is_over() {
+fn only_the_last_leader_may_acquire_leadership_before_its_lease_expires() {
     let candidacy = |holder, last| {
-        let standing = LeadershipState { holder, last, last_has_waited: true };
-        candidacy("a", &standing, CandidateContext::default())
+        let state = LeadershipState { holder, last, last_has_waited: true };
+        candidacy("a", &state, CandidateContext::default())
     };
     assert_eq!(candidacy(None, Some("b")), Some(Predecessor::OtherNode));
     assert_eq!(candidacy(None, Some("a")), Some(Predecessor::SameNode));
@@ -309,11 +318,11 @@
 }
 
 #[test]
-fn where_the_store_knows_of_no_leader_there_was_none_only_in_a_fleet_that_began_since() {
-    let knowledge =
+fn without_a_recorded_leader_the_predecessor_is_nobody_only_in_a_new_fleet() {
+    let context =
         |fleet_began_in_era, own_term_runs| CandidateContext { fleet_began_in_era, own_term_runs };
-    let candidacy = |knowledge| candidacy("a", &LeadershipState::default(), knowledge);
-    assert_eq!(candidacy(knowledge(true, false)), Some(Predecessor::Nobody));
-    assert_eq!(candidacy(knowledge(false, true)), Some(Predecessor::OwnTerm));
-    assert_eq!(candidacy(knowledge(false, false)), Some(Predecessor::Unknown));
+    let candidacy = |context| candidacy("a", &LeadershipState::default(), context);
+    assert_eq!(candidacy(context(true, false)), Some(Predecessor::Nobody));
+    assert_eq!(candidacy(context(false, true)), Some(Predecessor::OwnTerm));
+    assert_eq!(candidacy(context(false, false)), Some(Predecessor::Unknown));
 }
