--- a/crates/cometmoor-core/src/gateway/signals/limit.rs
+++ b/crates/cometmoor-core/src/gateway/signals/limit.rs
@@ -49,7 +49,7 @@
     /// Converts the report to local time with the widest possible observation window, or returns
     /// `None` if the limit is not a finite, non-negative number. Times before this machine's boot
     /// are clamped to the boot.
-    pub(super) fn to_known_limit(&self, now: BootInstant) -> Option<KnownLimit> {
+    pub(super) fn known_limit(&self, now: BootInstant) -> Option<KnownLimit> {
         let before = |time| now.checked_sub(time).unwrap_or_default();
         let age = |millis| Duration::from_millis(u64::from(millis));
         let observed = ObservationWindow {
--- a/crates/cometmoor-core/src/gateway/signals/mod.rs
+++ b/crates/cometmoor-core/src/gateway/signals/mod.rs
@@ -219,7 +219,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct SignalTable {
     servers: HashMap<IncarnationHash, ServerSignals>,
-    /// Incremented for each response or report; versions the limits.
+    /// Incremented with each response or report that is applied; versions the limits.
     revision: u64,
 }
 
@@ -260,7 +260,7 @@
         for report in reports {
             let revision = self.next_revision();
             let known = self.entry(report.server, now);
-            let limit = report.limit.and_then(|limit| limit.to_known_limit(now));
+            let limit = report.limit.and_then(|limit| limit.known_limit(now));
             let limit = limit.and_then(|limit| known.update_limit(limit, revision));
             let leaving = report.is_leaving.then(|| known.mark_leaving(now)).flatten();
             changes.extend(limit.into_iter().chain(leaving).map(|change| (report.server, change)));
--- a/crates/cometmoor-core/src/gateway/signals/server.rs
+++ b/crates/cometmoor-core/src/gateway/signals/server.rs
@@ -47,7 +47,7 @@
     revision: u64,
     /// Number of messages still to carry the record.
     transmissions_left: u32,
-    /// When a response or report was last processed.
+    /// When a signal was last received.
     updated_at: BootInstant,
 }
 
@@ -194,12 +194,12 @@
         self.report(server, now)
     }
 
-    /// When a response or report was last processed.
+    /// When a signal was last received.
     pub(super) fn updated_at(&self) -> BootInstant {
         self.updated_at
     }
 
-    /// Records that a response or report is being processed.
+    /// Records that a signal was received.
     pub(super) fn touch(&mut self, now: BootInstant) {
         self.updated_at = now;
     }
