--- a/crates/cometmoor-core/src/keys.rs
+++ b/crates/cometmoor-core/src/keys.rs
@@ -95,7 +95,8 @@
 /// confirmed to be current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyFreshness {
-    /// Whether a key in the copy may be admitted: if it was revoked, that was recent.
+    /// Whether a key in the copy may be admitted: if it was revoked, that was recent, or there is
+    /// no limit on how long a revocation may take.
     pub admits: bool,
     /// Whether a key that is not in the copy may be rejected: if it was added, that was recent.
     pub denies: bool,
