--- a/crates/cometmoor-gateway/src/control/demand.rs
+++ b/crates/cometmoor-gateway/src/control/demand.rs
@@ -55,7 +55,7 @@
     }
 
     /// When the first request was counted.
-    pub fn first(&self) -> Option<Timestamp> {
+    pub fn first_request(&self) -> Option<Timestamp> {
         self.first
     }
 
@@ -67,17 +67,17 @@
 
 impl FleetDemandRates {
     /// Servers that the work on a model keeps busy.
-    pub fn work(&self, key: ModelKey, now: Timestamp) -> f64 {
+    pub fn prefill(&self, key: ModelKey, now: Timestamp) -> f64 {
         self.work.rate(key, now)
     }
 
     /// Slots of servers' batches that a model's requests hold.
-    pub fn slots(&self, key: ModelKey, now: Timestamp) -> f64 {
+    pub fn occupied_slots(&self, key: ModelKey, now: Timestamp) -> f64 {
         self.slots.rate(key, now)
     }
 
     /// Requests a second.
-    pub fn requests(&self, key: ModelKey, now: Timestamp) -> f64 {
+    pub fn requests_per_second(&self, key: ModelKey, now: Timestamp) -> f64 {
         self.requests.rate(key, now)
     }
 }
--- a/crates/cometmoor-gateway/src/control/fleet/changes.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/changes.rs
@@ -10,7 +10,7 @@
 
 use super::FleetState;
 use crate::membership::Member;
-use crate::peer::Subject;
+use crate::peer::StorePrefix;
 
 /// Most servers or nodes that are logged one by one when they change at once.
 const MOST_LINES: usize = 16;
@@ -59,7 +59,7 @@
 impl FleetState {
     /// Tells which copies this node has begun, or ceased, to read itself.
     pub(super) fn log_reading_changes(&mut self) {
-        for subject in Subject::ALL {
+        for subject in StorePrefix::ALL {
             let reads = self.reads(subject);
             if self.logged_reading.insert(subject, reads) == Some(reads) {
                 continue;
--- a/crates/cometmoor-gateway/src/control/fleet/copies.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/copies.rs
@@ -13,7 +13,7 @@
 use crate::clock;
 use crate::membership::{CopyAge, CopyVersions, Member};
 use crate::mirror::{Mirror, MirrorUpdate, MirroredItem};
-use crate::peer::{Subject, encode_update, fetch_update};
+use crate::peer::{StorePrefix, encode_update, fetch_update};
 use crate::published::age_millis;
 
 /// Pause after a peer did not give its copy; another one's heartbeat comes soon.
@@ -148,7 +148,7 @@
 
     /// Takes what leads on from this copy, the store's or a peer's; tells whether an item
     /// changed.
-    pub(super) fn update(&mut self, subject: Subject, update: MirrorUpdate) -> bool {
+    pub(super) fn update(&mut self, subject: StorePrefix, update: MirrorUpdate) -> bool {
         let (before, item_before) = (self.mirror.at, numbered_item(&self.mirror));
         let changed = self.mirror.update(update);
         if changed {
@@ -168,7 +168,7 @@
         self.restored.is_none_or(|restored| restored.is_rewritten(item))
     }
 
-    fn log_new_era(&self, subject: Subject, before: StorePosition) {
+    fn log_new_era(&self, subject: StorePrefix, before: StorePosition) {
         if before.revision > 0 {
             let (what, age_millis) = (subject.name(), self.age_millis());
             let (at, before) = (self.mirror.at.to_string(), before.to_string());
@@ -197,7 +197,7 @@
     }
 
     /// Notes that the store has answered a call.
-    pub(super) fn confirm(&mut self, subject: Subject) {
+    pub(super) fn confirm(&mut self, subject: StorePrefix) {
         if self.watch_failing {
             let (what, age_millis) = (subject.name(), self.age_millis());
             info!("[store] answers again", kv: { what, age_millis });
@@ -225,13 +225,13 @@
         let patience = self.patience();
         let newer = [
             (
-                Subject::Configuration,
+                StorePrefix::Configuration,
                 told.configuration > self.configuration.version(),
                 told.configuration_age,
             ),
             (
-                Subject::Servers,
-                told.servers > self.copies[&Subject::Servers].mirror.at,
+                StorePrefix::Servers,
+                told.servers > self.copies[&StorePrefix::Servers].mirror.at,
                 told.servers_age,
             ),
         ];
@@ -248,7 +248,7 @@
             let unanswered = copy.watch_failing || copy.is_older_than(patience);
             let lagging = learns || unanswered || stands_still;
             let fetching = copy.fetching;
-            if subject == Subject::Configuration && !was_known {
+            if subject == StorePrefix::Configuration && !was_known {
                 self.publish();
             }
             if lagging && !fetching && self.may_fetch(subject, peer) {
@@ -262,9 +262,9 @@
     /// Whether a peer's copy is asked for now. Changes of the servers come often:
     /// in a large fleet, those of a moment are asked for together, at a node of
     /// the same zone if one has them soon.
-    fn may_fetch(&mut self, subject: Subject, peer: &PeerCopies) -> bool {
+    fn may_fetch(&mut self, subject: StorePrefix, peer: &PeerCopies) -> bool {
         let now = self.now();
-        if subject == Subject::Configuration || self.peers.is_small() {
+        if subject == StorePrefix::Configuration || self.peers.is_small_fleet() {
             return true;
         }
         let near = peer.zone == self.context.settings.zone;
@@ -281,8 +281,8 @@
     /// which ask the nodes that read the store, and over such nodes of their own zone. From
     /// the four nodes that read the store alone, 301 nodes before 2,999 servers had a
     /// configuration in force after 2.6 s (played day), and most of it crossed zones.
-    fn source_of(&self, subject: Subject, peer: &PeerCopies) -> SocketAddrV4 {
-        if subject == Subject::Servers || self.peers.is_small() {
+    fn source_of(&self, subject: StorePrefix, peer: &PeerCopies) -> SocketAddrV4 {
+        if subject == StorePrefix::Servers || self.peers.is_small_fleet() {
             return peer.address;
         }
         let is_hub = self.peers.is_hub();
@@ -295,12 +295,12 @@
         readers.get(place).copied().unwrap_or(peer.address)
     }
 
-    fn fetch(&self, subject: Subject, peer: SocketAddrV4, context: &mut Context<FleetState>) {
+    fn fetch(&self, subject: StorePrefix, peer: SocketAddrV4, context: &mut Context<FleetState>) {
         let fleet = context.address();
         // A configuration is one item, and its newest version need not be the store's.
         let after = match subject {
-            Subject::Configuration => StorePosition::default(),
-            Subject::Servers => self.copies[&subject].mirror.at,
+            StorePrefix::Configuration => StorePosition::default(),
+            StorePrefix::Servers => self.copies[&subject].mirror.at,
         };
         actix_rt::spawn(async move {
             let result = fetch_update(peer, subject, after).await;
@@ -313,10 +313,10 @@
 }
 
 /// Time that this node's own watch has to bring what a peer already has.
-fn watch_lead(subject: Subject) -> Duration {
+fn watch_lead(subject: StorePrefix) -> Duration {
     match subject {
-        Subject::Configuration => Duration::from_millis(400),
-        Subject::Servers => Duration::from_millis(450),
+        StorePrefix::Configuration => Duration::from_millis(400),
+        StorePrefix::Servers => Duration::from_millis(450),
     }
 }
 
@@ -324,7 +324,7 @@
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(super) struct PeerCopy {
-    pub(super) subject: Subject,
+    pub(super) subject: StorePrefix,
     pub(super) peer: SocketAddrV4,
     pub(super) update: Option<MirrorUpdate>,
 }
@@ -340,7 +340,7 @@
             let (what, at) = (answer.subject.name(), copy.mirror.at.to_string());
             info!("[peers] a newer copy was taken", kv: { what, peer = answer.peer.to_string(), at });
             self.take_in(answer.subject);
-            if answer.subject == Subject::Configuration {
+            if answer.subject == StorePrefix::Configuration {
                 // Those that ask this node for digests wait for it.
                 self.context.board.heartbeat_wanted.notify_one();
             }
--- a/crates/cometmoor-gateway/src/control/fleet/messages.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/messages.rs
@@ -19,11 +19,12 @@
 use crate::dialect::WatchEvent;
 use crate::load::ModelKey;
 use crate::membership::{
-    Digest, Heartbeat, Member, Membership, Message as PeerMessage, Outgoing, PeerChange, Placement,
+    Digest, Heartbeat, Member, Membership, Message as PeerMessage, OutgoingMessage, PeerChange,
+    Placement,
 };
 use crate::mirror::{Mirror, MirrorUpdate};
-use crate::peer::Subject;
-use crate::published::{Phase, StopTimes};
+use crate::peer::StorePrefix;
+use crate::published::{Phase, ShutdownTimes};
 
 /// Time after its start by which a node has heard others.
 const OTHERS_KNOWN_AFTER: Duration = Duration::from_secs(1);
@@ -33,7 +34,7 @@
 #[rtype(result = "()")]
 pub struct CopyRead {
     /// Which prefix.
-    pub subject: Subject,
+    pub subject: StorePrefix,
     /// What was read.
     pub mirror: Mirror,
     /// Point that the copy was of when the store was asked.
@@ -62,7 +63,7 @@
 #[rtype(result = "()")]
 pub struct CopyChanged {
     /// Which prefix.
-    pub subject: Subject,
+    pub subject: StorePrefix,
     /// Changes in order; none where there were none.
     pub events: Vec<WatchEvent>,
     /// Era of the store that they are of.
@@ -95,7 +96,7 @@
 #[rtype(result = "()")]
 pub struct CopyFailed {
     /// Which prefix.
-    pub subject: Subject,
+    pub subject: StorePrefix,
     /// What happened.
     pub reason: String,
 }
@@ -125,19 +126,19 @@
     fn handle(&mut self, told: PeerTold, context: &mut Context<FleetState>) {
         match told.0 {
             PeerMessage::Heartbeat(heartbeat) => {
-                self.take_heartbeat(heartbeat, context, Membership::receive);
+                self.take_heartbeat(heartbeat, context, Membership::receive_heartbeat);
             }
             PeerMessage::HeartbeatToHub(heartbeat, question) => {
                 let take = |peers: &mut Membership, heartbeat, now| {
-                    peers.receive_question(heartbeat, question, now)
+                    peers.receive_digest_request(heartbeat, question, now)
                 };
                 self.take_heartbeat(heartbeat, context, take);
             }
             PeerMessage::ZoneDigest(digest) => {
-                self.take_digest(digest, context, Membership::receive_zone);
+                self.take_digest(digest, context, Membership::receive_zone_digest);
             }
             PeerMessage::FleetDigest(digest) => {
-                self.take_digest(digest, context, Membership::receive_fleet);
+                self.take_digest(digest, context, Membership::receive_fleet_digest);
             }
             PeerMessage::ProofAnswer(answer) => self.take_proof(&answer),
             // It is answered at once, not here.
@@ -169,7 +170,7 @@
         self.merge_signals(&heartbeat.signals, &node);
         self.demand.receive(&heartbeat, now);
         let leads = heartbeat.placement.is_some();
-        let waits = !heartbeat.waited_for.is_empty();
+        let waits = !heartbeat.awaited_models.is_empty();
         if !leads && self.peers.leads(heartbeat.peer_address) {
             // It says itself that it has stopped; nobody need wait for its silence.
             self.leader_heard = None;
@@ -238,7 +239,7 @@
 /// What a node sends next, and how long it rests then.
 pub struct NextMessages {
     /// The messages.
-    pub outgoing: Vec<Outgoing>,
+    pub outgoing: Vec<OutgoingMessage>,
     /// Whether every node tells every other one.
     pub is_small_fleet: bool,
     /// Nodes that are there.
@@ -255,7 +256,7 @@
 
     fn handle(&mut self, _: GetNextMessages, _: &mut Context<FleetState>) -> Self::Result {
         let outgoing = self.outgoing();
-        let is_small_fleet = self.peers.is_small();
+        let is_small_fleet = self.peers.is_small_fleet();
         let nodes = u32::try_from(self.peers.members().len()).unwrap_or(u32::MAX);
         MessageResult(NextMessages { outgoing, is_small_fleet, nodes })
     }
@@ -264,7 +265,7 @@
 /// Begins the planned stop: the node says that it is leaving.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct BeginStop(pub StopTimes);
+pub struct BeginStop(pub ShutdownTimes);
 
 impl Handler<BeginStop> for FleetState {
     type Result = ();
@@ -296,7 +297,7 @@
 #[rtype(result = "Option<Bytes>")]
 pub struct GetUpdate {
     /// Which prefix.
-    pub subject: Subject,
+    pub subject: StorePrefix,
     /// The point.
     pub after: StorePosition,
 }
@@ -312,7 +313,7 @@
 /// Asks what the watcher of a copy is to do next, and which point the copy is of.
 #[derive(Message)]
 #[rtype(result = "(NextCall, StorePosition)")]
-pub struct GetNextCall(pub Subject);
+pub struct GetNextCall(pub StorePrefix);
 
 impl Handler<GetNextCall> for FleetState {
     type Result = MessageResult<GetNextCall>;
@@ -326,7 +327,7 @@
 /// Asks which point a copy is of.
 #[derive(Message)]
 #[rtype(result = "StorePosition")]
-pub struct GetPosition(pub Subject);
+pub struct GetPosition(pub StorePrefix);
 
 impl Handler<GetPosition> for FleetState {
     type Result = MessageResult<GetPosition>;
@@ -339,7 +340,7 @@
 /// Asks how long an open watch of a copy may go on saying nothing.
 #[derive(Message)]
 #[rtype(result = "Duration")]
-pub struct GetPatienceLeft(pub Subject);
+pub struct GetPatienceLeft(pub StorePrefix);
 
 impl Handler<GetPatienceLeft> for FleetState {
     type Result = MessageResult<GetPatienceLeft>;
@@ -353,7 +354,7 @@
 /// many failures before the last one.
 #[derive(Message)]
 #[rtype(result = "Duration")]
-pub struct GetRetryPause(pub Subject, pub u32);
+pub struct GetRetryPause(pub StorePrefix, pub u32);
 
 impl Handler<GetRetryPause> for FleetState {
     type Result = MessageResult<GetRetryPause>;
@@ -377,7 +378,7 @@
 /// Asks whether a large prefix is to be read.
 #[derive(Message)]
 #[rtype(result = "ReadPlan")]
-pub struct GetReadPlan(pub Subject);
+pub struct GetReadPlan(pub StorePrefix);
 
 impl Handler<GetReadPlan> for FleetState {
     type Result = MessageResult<GetReadPlan>;
@@ -433,9 +434,9 @@
 
     fn handle(&mut self, _: GetDemand, _: &mut Context<FleetState>) -> Self::Result {
         let rates = self.demand.rates().clone();
-        let first_demand = self.demand.first();
+        let first_demand = self.demand.first_request();
         let now = self.now();
-        let mut waited_for = self.peers.waited_for(now);
+        let mut waited_for = self.peers.awaited_models(now);
         waited_for.extend(self.context.loads.waited_for(clock::now()));
         MessageResult(DemandView { rates, now, first_demand, waited_for })
     }
--- a/crates/cometmoor-gateway/src/control/fleet/mod.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/mod.rs
@@ -34,9 +34,11 @@
 use super::demand::FleetDemandMeter;
 use crate::clock::{self, SuspensionWatch};
 use crate::load::{ModelDemand, ModelKey, ServerKey, ServerLoad};
-use crate::membership::{CopyVersions, Heartbeat, Membership, Outgoing, PeerPhase, Placement};
-use crate::peer::Subject;
-use crate::published::{ClientNode, Phase, PlacementView, Published, StopTimes};
+use crate::membership::{
+    CopyVersions, Heartbeat, Membership, OutgoingMessage, PeerPhase, Placement,
+};
+use crate::peer::StorePrefix;
+use crate::published::{FleetSnapshot, NodeEndpoint, Phase, PlacementView, ShutdownTimes};
 
 /// How often silent peers are noticed.
 const TICK: Duration = Duration::from_millis(250);
@@ -62,7 +64,7 @@
     suspensions: SuspensionWatch,
     started: BootInstant,
     phase: Phase,
-    copies: HashMap<Subject, Copy>,
+    copies: HashMap<StorePrefix, Copy>,
     configuration: ActiveConfiguration,
     /// Whether the newest configuration that the store is known to hold can be read.
     is_readable: bool,
@@ -76,7 +78,7 @@
     peers: Membership,
     logged_members: BTreeSet<SocketAddrV4>,
     /// Copies that this node was last logged to read itself.
-    logged_reading: HashMap<Subject, bool>,
+    logged_reading: HashMap<StorePrefix, bool>,
     /// Load on the servers that was last told to others.
     told_loads: Vec<(ServerKey, ServerLoad)>,
     loads_told: Option<Timestamp>,
@@ -84,7 +86,7 @@
     traffic_logged: Timestamp,
     placement: Option<Placement>,
     leader_heard: Option<BootInstant>,
-    stop: Option<StopTimes>,
+    stop: Option<ShutdownTimes>,
     sequence: u64,
     generation: u64,
 }
@@ -106,7 +108,7 @@
             suspensions: SuspensionWatch::start(),
             started: clock::now(),
             phase: Phase::Starting,
-            copies: HashMap::from_iter(Subject::ALL.map(|subject| (subject, Copy::default()))),
+            copies: HashMap::from_iter(StorePrefix::ALL.map(|subject| (subject, Copy::default()))),
             configuration: ActiveConfiguration::default(),
             is_readable: true,
             lost_version: None,
@@ -135,11 +137,11 @@
 
     /// Whether this node reads a prefix of the store itself. Entries of servers
     /// change often, and each change costs each reader a call.
-    fn reads(&self, subject: Subject) -> bool {
+    fn reads(&self, subject: StorePrefix) -> bool {
         let readers = match subject {
-            Subject::Configuration if self.peers.is_small() => READERS_OF_CONFIGURATION,
-            Subject::Servers if self.peers.is_small() => READERS_OF_SMALL_FLEET,
-            Subject::Configuration | Subject::Servers => READERS,
+            StorePrefix::Configuration if self.peers.is_small_fleet() => READERS_OF_CONFIGURATION,
+            StorePrefix::Servers if self.peers.is_small_fleet() => READERS_OF_SMALL_FLEET,
+            StorePrefix::Configuration | StorePrefix::Servers => READERS,
         };
         self.peers.is_reader(readers)
     }
@@ -149,15 +151,15 @@
         self.copies.values().any(|copy| copy.watch_failing)
     }
 
-    fn copy(&mut self, subject: Subject) -> &mut Copy {
+    fn copy(&mut self, subject: StorePrefix) -> &mut Copy {
         self.copies.entry(subject).or_default()
     }
 
     /// Takes what a copy holds into the state.
-    fn take_in(&mut self, subject: Subject) {
+    fn take_in(&mut self, subject: StorePrefix) {
         match subject {
-            Subject::Configuration => self.take_in_configuration(),
-            Subject::Servers => self.take_in_servers(),
+            StorePrefix::Configuration => self.take_in_configuration(),
+            StorePrefix::Servers => self.take_in_servers(),
         }
         self.publish();
     }
@@ -165,7 +167,7 @@
     fn take_in_configuration(&mut self) {
         let dialect = self.context.dialect.clone();
         let key = dialect.configuration_key().to_owned();
-        let copy = self.copy(Subject::Configuration);
+        let copy = self.copy(StorePrefix::Configuration);
         let Some(item) = copy.mirror.items.get(&key) else { return };
         let lost = item.is_lost.then_some(item.version).flatten();
         let parsed = dialect.parse_configuration(&item.value);
@@ -195,7 +197,7 @@
     }
 
     fn take_in_servers(&mut self) {
-        let copy = &self.copies[&Subject::Servers].mirror;
+        let copy = &self.copies[&StorePrefix::Servers].mirror;
         let configuration = self.configuration.get().map(Arc::as_ref);
         let believed =
             self.entries.believe(copy, &*self.context.dialect, configuration, &self.servers);
@@ -209,8 +211,8 @@
     fn publish(&mut self) {
         let now = self.now();
         self.generation += 1;
-        let copy = &self.copies[&Subject::Configuration];
-        let published = Published {
+        let copy = &self.copies[&StorePrefix::Configuration];
+        let published = FleetSnapshot {
             generation: self.generation,
             phase: self.phase,
             configuration: self.configuration.get().cloned(),
@@ -220,15 +222,15 @@
             ignored_entries: self.entries.ignored(),
             servers: self.servers.values().map(|known| self.as_it_says(known)).collect(),
             nodes: self.client_nodes(),
-            confirmed: copy.confirmed,
-            servers_confirmed: self.copies[&Subject::Servers].confirmed,
-            reads_store: self.reads(Subject::Servers),
-            is_large_fleet: !self.peers.is_small(),
+            configuration_confirmed: copy.confirmed,
+            servers_confirmed: self.copies[&StorePrefix::Servers].confirmed,
+            reads_store: self.reads(StorePrefix::Servers),
+            is_large_fleet: !self.peers.is_small_fleet(),
             leads: self.placement.is_some(),
             leader_heard: self.leader_heard,
-            stop: self.stop,
-            nodes_seen: self.peers.sharing(now) + 1,
-            nodes_heard: self.peers.members().len() + 1,
+            shutdown: self.stop,
+            recent_nodes: self.peers.recent_peer_count(now) + 1,
+            live_nodes: self.peers.members().len() + 1,
         };
         self.context.board.fleet.store(Arc::new(published));
     }
@@ -243,16 +245,16 @@
         Arc::new(ServerRecord { state: ServerState::Draining, ..ServerRecord::clone(record) })
     }
 
-    fn client_nodes(&self) -> Vec<ClientNode> {
+    fn client_nodes(&self) -> Vec<NodeEndpoint> {
         let ready = self.peers.members().iter().filter(|member| member.is_ready());
-        let mut nodes: Vec<ClientNode> = ready
-            .map(|member| ClientNode {
+        let mut nodes: Vec<NodeEndpoint> = ready
+            .map(|member| NodeEndpoint {
                 address: member.entry.client_address,
                 zone: member.zone.clone(),
             })
             .collect();
         if self.phase == Phase::Ready {
-            nodes.push(ClientNode {
+            nodes.push(NodeEndpoint {
                 address: self.context.settings.client_address,
                 zone: self.context.settings.zone.clone(),
             });
@@ -265,31 +267,31 @@
     fn versions(&self) -> CopyVersions {
         CopyVersions {
             configuration: self.configuration.version(),
-            configuration_age: self.copies[&Subject::Configuration].told_age(),
-            servers: self.copies[&Subject::Servers].mirror.at,
-            servers_age: self.copies[&Subject::Servers].told_age(),
+            configuration_age: self.copies[&StorePrefix::Configuration].told_age(),
+            servers: self.copies[&StorePrefix::Servers].mirror.at,
+            servers_age: self.copies[&StorePrefix::Servers].told_age(),
         }
     }
 
     /// Age of a copy from which on this node asks the store itself.
     fn patience(&self) -> Duration {
-        self.staleness.refresh_age(self.peers.place(), self.peers.is_small())
+        self.staleness.refresh_age(self.peers.preceding_nodes(), self.peers.is_small_fleet())
     }
 
     /// What this node knows of one of its copies, and of its part in the fleet.
-    fn copy_view(&self, subject: Subject) -> CopyView {
+    fn copy_view(&self, subject: StorePrefix) -> CopyView {
         let copy = &self.copies[&subject];
         CopyView {
             exists: copy.mirror.exists(),
             is_superseded: copy.mirror.at.era < self.context.store.eras().newest(),
             is_reader: self.reads(subject),
-            preceding_nodes: self.peers.place(),
-            is_small_fleet: self.peers.is_small(),
+            preceding_nodes: self.peers.preceding_nodes(),
+            is_small_fleet: self.peers.is_small_fleet(),
             age: copy.age(),
             peer_reported_age: copy.age_told_by_peers(),
             time_until_proof_refresh: match subject {
-                Subject::Configuration => self.time_until_proof_refresh(),
-                Subject::Servers => None,
+                StorePrefix::Configuration => self.time_until_proof_refresh(),
+                StorePrefix::Servers => None,
             },
         }
     }
@@ -298,7 +300,7 @@
         self.sequence += 1;
         let tells_loads = self.loads_are_due();
         let settings = &self.context.settings;
-        let reads_store = self.reads(Subject::Servers) && !self.store_fails();
+        let reads_store = self.reads(StorePrefix::Servers) && !self.store_fails();
         Heartbeat {
             node: settings.node.clone(),
             incarnation: self.context.incarnation,
@@ -316,21 +318,21 @@
             store_fails: self.store_fails(),
             loads: tells_loads.then(|| self.context.loads.all()),
             demand: if tells_loads { self.recent_demand() } else { Vec::new() },
-            waited_for: self.context.loads.waited_for(clock::now()),
+            awaited_models: self.context.loads.waited_for(clock::now()),
             suspects: self.context.quarantine.next_reports(),
             signals: self.context.signals.next_reports(),
             placement: self.placement.clone(),
-            members: self.peers.count(),
-            known: self.peers.known(self.sequence),
+            member_count: self.peers.member_count(),
+            known_peers: self.peers.known_peers(self.sequence),
         }
     }
 
     /// What this node sends to others now.
-    fn outgoing(&mut self) -> Vec<Outgoing> {
+    fn outgoing(&mut self) -> Vec<OutgoingMessage> {
         let now = self.now();
         let heartbeat = self.heartbeat();
         self.demand.receive(&heartbeat, now);
-        self.ask_for_plan(!heartbeat.waited_for.is_empty());
+        self.ask_for_plan(!heartbeat.awaited_models.is_empty());
         let mut outgoing = self.peers.outgoing(&heartbeat, now);
         outgoing.extend(self.proof_request());
         if let Some(loads) = heartbeat.loads {
@@ -351,7 +353,7 @@
         if due {
             self.loads_told = Some(now);
         }
-        due || self.peers.is_small()
+        due || self.peers.is_small_fleet()
     }
 
     /// Asks this node's leader for a plan where requests wait for weights.
@@ -385,7 +387,7 @@
         let now = self.now();
         if now.since(self.load_summed) >= LOAD_PAUSE {
             self.load_summed = now;
-            let load = self.peers.load(&self.told_loads, now);
+            let load = self.peers.remote_load(&self.told_loads, now);
             self.context.board.remote_load.store(Arc::new(load));
         }
     }
--- a/crates/cometmoor-gateway/src/control/fleet/proofs.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/proofs.rs
@@ -9,27 +9,28 @@
 
 use super::FleetState;
 use crate::clock;
-use crate::membership::{Message as PeerMessage, Outgoing, ProofAnswer, ProofRequest};
-use crate::peer::Subject;
+use crate::membership::{Message as PeerMessage, OutgoingMessage, ProofAnswer, ProofRequest};
+use crate::peer::StorePrefix;
 
 impl FleetState {
     /// The latest point at which the configuration in force is known to have been the
     /// store's newest. Where the newest one cannot be read, none is known: it may have
     /// taken keys away.
     pub(super) fn configuration_proven(&self) -> Option<BootInstant> {
-        self.copies[&Subject::Configuration].proven.filter(|_| self.is_readable)
+        self.copies[&StorePrefix::Configuration].proven.filter(|_| self.is_readable)
     }
 
     /// Asks another node for a proof, where this node's is getting old.
-    pub(super) fn proof_request(&mut self) -> Option<Outgoing> {
-        if !self.proof_limits.needs_peer_proof(self.copies[&Subject::Configuration].proof_age()) {
+    pub(super) fn proof_request(&mut self) -> Option<OutgoingMessage> {
+        if !self.proof_limits.needs_peer_proof(self.copies[&StorePrefix::Configuration].proof_age())
+        {
             return None;
         }
         let sources = self.peers.proof_sources();
         let (number, source) = self.proof_requests.next_request(sources.len(), clock::now())?;
         let from = self.context.settings.peer_address;
         let message = PeerMessage::ProofRequest(ProofRequest { from, number });
-        Some(Outgoing { message, targets: vec![sources[source]] })
+        Some(OutgoingMessage { message, targets: vec![sources[source]] })
     }
 
     /// Takes a peer's answer.
@@ -42,14 +43,14 @@
         let at = self.proof_requests.handle_answer(answer.number, proof, own_version);
         if let Some(at) = at {
             self.context.store.eras().note_peer(answer.era);
-            self.prove(Subject::Configuration, answer.era, at);
+            self.prove(StorePrefix::Configuration, answer.era, at);
         }
     }
 
     /// Notes a point at which the store told, in an era, that it held nothing newer than a
     /// copy, and lets the traffic thread know of it.
-    pub(super) fn prove(&mut self, subject: Subject, era: StoreEra, at: BootInstant) {
-        if subject == Subject::Configuration {
+    pub(super) fn prove(&mut self, subject: StorePrefix, era: StoreEra, at: BootInstant) {
+        if subject == StorePrefix::Configuration {
             if self.proof_counts(era, at) {
                 self.copy(subject).prove(Some(at));
             }
@@ -60,7 +61,7 @@
     /// Whether the store proves by an answer that the configuration in force is the newest.
     fn proof_counts(&self, era: StoreEra, at: BootInstant) -> bool {
         let restored = self.context.store.eras().restored();
-        let copy = &self.copies[&Subject::Configuration];
+        let copy = &self.copies[&StorePrefix::Configuration];
         let Some(item) = copy.mirror.items.get(self.context.dialect.configuration_key()) else {
             return false;
         };
@@ -72,11 +73,11 @@
     /// Time left until the store is to be asked for a proof; none where no key depends on it,
     /// or where the store cannot prove anything now.
     pub(super) fn time_until_proof_refresh(&self) -> Option<Duration> {
-        let era = self.copies[&Subject::Configuration].mirror.at.era;
+        let era = self.copies[&StorePrefix::Configuration].mirror.at.era;
         if !self.proof_counts(era, clock::now()) {
             return None;
         }
-        self.proof_limits.time_until_refresh(self.copies[&Subject::Configuration].proof_age())
+        self.proof_limits.time_until_refresh(self.copies[&StorePrefix::Configuration].proof_age())
     }
 
     fn proof_answer(&self, number: u64) -> ProofAnswer {
@@ -85,7 +86,7 @@
         ProofAnswer {
             number,
             configuration: self.configuration.version(),
-            era: self.copies[&Subject::Configuration].mirror.at.era,
+            era: self.copies[&StorePrefix::Configuration].mirror.at.era,
             age_millis: self.configuration_proven().and_then(millis),
         }
     }
--- a/crates/cometmoor-gateway/src/control/leader/mod.rs
+++ b/crates/cometmoor-gateway/src/control/leader/mod.rs
@@ -404,9 +404,9 @@
         for model in &profile.models {
             let key = model_key(&model.name, None);
             let asked = ModelDemand::new(
-                view.rates.work(key, now),
-                view.rates.slots(key, now) / f64::from(profile.batch_slots.max(1)),
-                view.rates.requests(key, now),
+                view.rates.prefill(key, now),
+                view.rates.occupied_slots(key, now) / f64::from(profile.batch_slots.max(1)),
+                view.rates.requests_per_second(key, now),
             );
             demand.models.insert(model.name.clone(), asked);
             for number in 1..=model.adapters {
@@ -416,7 +416,7 @@
                 if view.waited_for.contains(&key) {
                     demand.awaited_adapters.insert(weights.clone());
                 }
-                demand.adapters.insert(weights, view.rates.requests(key, now));
+                demand.adapters.insert(weights, view.rates.requests_per_second(key, now));
             }
         }
         Some(demand)
--- a/crates/cometmoor-gateway/src/control/quarantine.rs
+++ b/crates/cometmoor-gateway/src/control/quarantine.rs
@@ -77,7 +77,7 @@
     /// the nodes that were there lately.
     fn lacks_verdicts(&self, last_read: Timestamp) -> bool {
         let fleet = self.context.board.fleet.load();
-        let is_cut_off = fleet.nodes_seen <= 1 || 2 * fleet.nodes_heard < fleet.nodes_seen;
+        let is_cut_off = fleet.recent_nodes <= 1 || 2 * fleet.live_nodes < fleet.recent_nodes;
         is_cut_off && self.context.quarantine.last_blamed() > Some(last_read)
     }
 
--- a/crates/cometmoor-gateway/src/control/registration.rs
+++ b/crates/cometmoor-gateway/src/control/registration.rs
@@ -54,7 +54,7 @@
 /// enough for a node that knows nobody, which itself looks there.
 fn is_needed(context: &ControlContext) -> bool {
     let fleet = context.board.fleet.load();
-    fleet.reads_store || fleet.nodes_seen <= FEW_NODES
+    fleet.reads_store || fleet.recent_nodes <= FEW_NODES
 }
 
 async fn step(
@@ -75,7 +75,7 @@
         context.store.commit(&Commit { conditions: Vec::new(), puts }).await?;
         *lease = Some(granted);
     }
-    if context.board.fleet.load().nodes_seen > FEW_NODES {
+    if context.board.fleet.load().recent_nodes > FEW_NODES {
         return Ok(());
     }
     let nodes = context.store.read(NODES_PREFIX).await?;
--- a/crates/cometmoor-gateway/src/control/term.rs
+++ b/crates/cometmoor-gateway/src/control/term.rs
@@ -10,7 +10,7 @@
 use super::leader::Leader;
 use crate::clock;
 use crate::dialect::{Commit, Committed};
-use crate::peer::renew_through;
+use crate::peer::renew_via_peer;
 use crate::published::Phase;
 use crate::store::StoreLease;
 
@@ -157,7 +157,7 @@
 async fn renew_through_peers(leader: &Leader, lease: StoreLease) -> Option<Renewal> {
     for peer in leader.peers().await {
         let sent = leader.now();
-        if let Ok(goes_on) = renew_through(peer, lease).await {
+        if let Ok(goes_on) = renew_via_peer(peer, lease).await {
             return Some(Renewal { goes_on, sent });
         }
     }
--- a/crates/cometmoor-gateway/src/control/watcher.rs
+++ b/crates/cometmoor-gateway/src/control/watcher.rs
@@ -18,7 +18,7 @@
 };
 use crate::clock;
 use crate::dialect::Watched;
-use crate::peer::Subject;
+use crate::peer::StorePrefix;
 use crate::store::{PagedRead, StoreError};
 
 /// Pause after changes of the servers, so that those that come close together
@@ -70,7 +70,7 @@
 
 /// Starts a task for each prefix.
 pub fn start(context: &Rc<ControlContext>, fleet: &Addr<FleetState>) {
-    for subject in Subject::ALL {
+    for subject in StorePrefix::ALL {
         let watcher = Watcher { context: context.clone(), fleet: fleet.clone(), subject };
         actix_rt::spawn(watcher.run());
     }
@@ -79,15 +79,15 @@
 struct Watcher {
     context: Rc<ControlContext>,
     fleet: Addr<FleetState>,
-    subject: Subject,
+    subject: StorePrefix,
 }
 
 impl Watcher {
     fn prefix(&self) -> &str {
         let dialect = &self.context.dialect;
         match self.subject {
-            Subject::Configuration => dialect.configuration_key(),
-            Subject::Servers => dialect.servers_prefix(),
+            StorePrefix::Configuration => dialect.configuration_key(),
+            StorePrefix::Servers => dialect.servers_prefix(),
         }
     }
 
@@ -233,7 +233,7 @@
     ) -> Result<Step, StoreError> {
         match watched {
             Watched::Events(events) => {
-                let gathers = self.subject == Subject::Servers && !events.is_empty();
+                let gathers = self.subject == StorePrefix::Servers && !events.is_empty();
                 let era = after.era;
                 self.fleet.do_send(CopyChanged { subject: self.subject, events, era, asked });
                 if gathers {
--- a/crates/cometmoor-gateway/src/directory.rs
+++ b/crates/cometmoor-gateway/src/directory.rs
@@ -4,7 +4,7 @@
 
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::published::ClientNode;
+use crate::published::NodeEndpoint;
 
 /// Most addresses in an answer.
 const MAX_ADDRESSES: usize = 64;
@@ -13,9 +13,10 @@
 /// the client's zone first. Where there are more than an answer holds, each zone
 /// gets others of the far nodes, so that they share the work, and the same ones
 /// each time, since clients close connections to nodes that an answer lacks.
-pub fn addresses(nodes: &[ClientNode], zone: Option<&str>) -> Vec<SocketAddrV4> {
-    let in_zone = |node: &&ClientNode| zone.is_some_and(|zone| zone == node.zone);
-    let (mut near, mut far): (Vec<&ClientNode>, Vec<&ClientNode>) = nodes.iter().partition(in_zone);
+pub fn addresses(nodes: &[NodeEndpoint], zone: Option<&str>) -> Vec<SocketAddrV4> {
+    let in_zone = |node: &&NodeEndpoint| zone.is_some_and(|zone| zone == node.zone);
+    let (mut near, mut far): (Vec<&NodeEndpoint>, Vec<&NodeEndpoint>) =
+        nodes.iter().partition(in_zone);
     if nodes.len() > MAX_ADDRESSES {
         let zone = zone.unwrap_or_default();
         near.sort_by_cached_key(|node| place(zone, node.address));
--- a/crates/cometmoor-gateway/src/forward/permit.rs
+++ b/crates/cometmoor-gateway/src/forward/permit.rs
@@ -84,7 +84,7 @@
                 Denial::Undecided(UNDECIDED_FOR)
             }
         };
-        signals.note_denied(key, self.traffic.board.fleet.load().nodes_heard, denial);
+        signals.note_denied(key, self.traffic.board.fleet.load().live_nodes, denial);
         let room = denial.retry_after();
         let denied = Hold::OverLimit { recheck_after: room, retry_after: room };
         Err(signals.hold(key, clock::now()).unwrap_or(denied))
--- a/crates/cometmoor-gateway/src/forward/tenant.rs
+++ b/crates/cometmoor-gateway/src/forward/tenant.rs
@@ -11,7 +11,7 @@
 use super::{COME_BACK_SOON, ForwardedRequest};
 use crate::clock;
 use crate::dialect::RequestFacts;
-use crate::published::Published;
+use crate::published::FleetSnapshot;
 
 /// Shortest time after which a caller is told to come back that met a limit.
 const SHORTEST_COME_BACK: Duration = Duration::from_millis(20);
@@ -26,7 +26,7 @@
 }
 
 /// Decides by the configuration in force whether a request of a route may run.
-pub fn check_access(fleet: &Published, route: &Route, facts: &RequestFacts) -> Access {
+pub fn check_access(fleet: &FleetSnapshot, route: &Route, facts: &RequestFacts) -> Access {
     let tenants = fleet.configuration.as_ref().and_then(|known| known.tenants.as_deref());
     access(tenants, route, facts.key, fleet.key_freshness())
 }
--- a/crates/cometmoor-gateway/src/forward/traffic.rs
+++ b/crates/cometmoor-gateway/src/forward/traffic.rs
@@ -107,7 +107,7 @@
 
     /// Takes a repeated send out of the fleet's budget.
     pub(super) fn may_repeat(&self, service: &str) -> bool {
-        let nodes = self.board.fleet.load().nodes_seen;
+        let nodes = self.board.fleet.load().recent_nodes;
         let now = self.now();
         self.with_budget(service, |budget| budget.try_retry(now, nodes))
     }
--- a/crates/cometmoor-gateway/src/frontend.rs
+++ b/crates/cometmoor-gateway/src/frontend.rs
@@ -21,7 +21,7 @@
 use crate::http::connection::{closed, prepare, read_some, write_all};
 use crate::http::head::{Framing, HeadError, RequestHead, take_request};
 use crate::load::{RequestWork, model_key};
-use crate::published::{Phase, Published, age_millis};
+use crate::published::{FleetSnapshot, Phase, age_millis};
 
 /// Pause after the listener failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -329,7 +329,7 @@
     check_access(&fleet, route, facts) == Access::Denied
 }
 
-fn decide(fleet: &Published, head: &RequestHead, facts: &RequestFacts) -> Decision {
+fn decide(fleet: &FleetSnapshot, head: &RequestHead, facts: &RequestFacts) -> Decision {
     let refusal = Decision::Answer(LocalResponse::not_run(COME_BACK));
     let Some(configuration) = &fleet.configuration else {
         return Decision::Answer(LocalResponse::not_run(COME_BACK_TO_STARTING));
@@ -368,12 +368,12 @@
 }
 
 /// Whether the request will be finished before a planned stop ends.
-fn finishes_in_time(fleet: &Published, route: &Route, facts: &RequestFacts) -> bool {
-    let Some(stop) = fleet.stop else { return true };
+fn finishes_in_time(fleet: &FleetSnapshot, route: &Route, facts: &RequestFacts) -> bool {
+    let Some(stop) = fleet.shutdown else { return true };
     let now = clock::now();
     finishes_before_stop(
-        now.since(stop.began),
-        stop.ends.since(now),
+        now.since(stop.started),
+        stop.deadline.since(now),
         route.timeout.min(facts.deadline.unwrap_or(route.timeout)),
         facts.output_tokens,
     )
--- a/crates/cometmoor-gateway/src/membership/duty.rs
+++ b/crates/cometmoor-gateway/src/membership/duty.rs
@@ -7,7 +7,7 @@
 use cometmoor_core::time::Timestamp;
 
 use super::leader_word::ToldWord;
-use super::message::{Digest, Question};
+use super::message::{Digest, DigestRequest};
 use super::roster::Roster;
 
 /// Time between two changes of the list of nodes that a hub tells: what changes
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Asker {
     asked: Timestamp,
-    question: Question,
+    question: DigestRequest,
     /// The version of the list that it was last told, and when.
     told: Option<(u64, Timestamp)>,
 }
@@ -41,8 +41,11 @@
 impl Asker {
     /// Which part of the list to tell it, given the list's version.
     fn lacks(&self, incarnation: u64, version: u64, now: Timestamp) -> ListPart {
-        let has =
-            self.question.has.filter(|has| has.incarnation == incarnation).map(|has| has.number);
+        let has = self
+            .question
+            .known_roster
+            .filter(|has| has.incarnation == incarnation)
+            .map(|has| has.number);
         let is_on_its_way = |(told, at)| told == version && now.since(at) < TOLD_AGAIN_AFTER;
         match has {
             Some(has) if has == version => ListPart::Nothing,
@@ -100,7 +103,7 @@
 
 impl HubDuty {
     /// Notes that a node asked for digests.
-    pub(super) fn asked(&mut self, address: SocketAddrV4, question: Question, now: Timestamp) {
+    pub(super) fn asked(&mut self, address: SocketAddrV4, question: DigestRequest, now: Timestamp) {
         let told = self.asked.get(&address).and_then(|asker| asker.told);
         if self.asked.insert(address, Asker { asked: now, question, told }).is_none() {
             self.newcomers.insert(address);
--- a/crates/cometmoor-gateway/src/membership/hubs.rs
+++ b/crates/cometmoor-gateway/src/membership/hubs.rs
@@ -8,7 +8,7 @@
 
 use super::Membership;
 use super::duty::ListPart;
-use super::message::{Digest, Heartbeat, Message, Question};
+use super::message::{Digest, DigestRequest, Heartbeat, Message};
 use super::peers::{Member, Rank};
 
 /// Fewest hubs of a zone, which share its nodes; each can take all.
@@ -27,7 +27,7 @@
 
 /// A message, and the nodes that get it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outgoing {
+pub struct OutgoingMessage {
     /// The message.
     pub message: Message,
     /// Where it goes.
@@ -36,11 +36,11 @@
 
 impl Membership {
     /// What this node sends now, given its own heartbeat.
-    pub fn outgoing(&mut self, own: &Heartbeat, now: Timestamp) -> Vec<Outgoing> {
+    pub fn outgoing(&mut self, own: &Heartbeat, now: Timestamp) -> Vec<OutgoingMessage> {
         self.reckon(now);
         let hubs = self.hubs();
         let mut outgoing = Vec::new();
-        if self.is_small() {
+        if self.is_small_fleet() {
             let targets = self.members().iter().map(Member::address);
             let targets = targets.chain(self.strangers(own.sequence)).collect();
             push(&mut outgoing, Message::Heartbeat(own.clone()), targets);
@@ -116,7 +116,7 @@
         own: &Heartbeat,
         hubs: &Hubs,
         now: Timestamp,
-        outgoing: &mut Vec<Outgoing>,
+        outgoing: &mut Vec<OutgoingMessage>,
     ) {
         self.ask_hubs(own, hubs, now, outgoing);
         let mut plain = Vec::new();
@@ -141,7 +141,7 @@
         own: &Heartbeat,
         hubs: &Hubs,
         now: Timestamp,
-        outgoing: &mut Vec<Outgoing>,
+        outgoing: &mut Vec<OutgoingMessage>,
     ) {
         let mut asked = hubs.near.clone();
         let first = self.own_rank.share(asked.len()).min(asked.len());
@@ -156,8 +156,8 @@
         self.asked.ask(&asked, now);
         push(outgoing, Message::Heartbeat(own.clone()), others);
         for (place, hub) in asked.into_iter().enumerate() {
-            let question = Question {
-                has: self.fleet.roster_of(hub),
+            let question = DigestRequest {
+                known_roster: self.fleet.roster_of(hub),
                 wants_loads: place == 0 && !hubs.is_own,
             };
             push(outgoing, Message::HeartbeatToHub(own.clone(), question), vec![hub]);
@@ -178,7 +178,7 @@
         let leader = self.placement(now)?.0.leader;
         let interval = LEADER_INTERVAL * u32::try_from(self.members().len()).unwrap_or(u32::MAX);
         let is_due = self.hub.leader_told.is_none_or(|told| now.since(told) >= interval);
-        if leader == self.own || (!is_due && own.waited_for.is_empty()) {
+        if leader == self.own || (!is_due && own.awaited_models.is_empty()) {
             return None;
         }
         self.hub.leader_told = Some(now);
@@ -193,10 +193,10 @@
         own: &Heartbeat,
         hubs: Hubs,
         now: Timestamp,
-        outgoing: &mut Vec<Outgoing>,
+        outgoing: &mut Vec<OutgoingMessage>,
     ) {
         let has_audience = self.hub.has_audience(now);
-        if !has_audience && (!hubs.is_own || self.is_small()) {
+        if !has_audience && (!hubs.is_own || self.is_small_fleet()) {
             return;
         }
         self.hub.sequence += 1;
@@ -213,7 +213,7 @@
         let others: Vec<SocketAddrV4> = others.into_iter().collect();
         let informed = self.hub.informed_now(self.members.len(), now);
         let uninformed = self.hub.introduced_now(now);
-        let introduction = Heartbeat { known: others.clone(), ..own.clone() };
+        let introduction = Heartbeat { known_peers: others.clone(), ..own.clone() };
         push(outgoing, Message::Heartbeat(introduction), uninformed);
         let whole = self.brief_digest(own, now);
         let for_hubs = self.hub.for_hubs(whole.clone(), now);
@@ -239,7 +239,7 @@
         whole: &Digest,
         brief: &Digest,
         now: Timestamp,
-        outgoing: &mut Vec<Outgoing>,
+        outgoing: &mut Vec<OutgoingMessage>,
     ) {
         if self.hub.roster_may_be_set(now) {
             let zones = self.fleet_zones(own, now);
@@ -281,8 +281,8 @@
     nodes.div_ceil(NODES_OF_HUB).clamp(FEWEST_HUBS, MOST_HUBS)
 }
 
-fn push(outgoing: &mut Vec<Outgoing>, message: Message, targets: Vec<SocketAddrV4>) {
+fn push(outgoing: &mut Vec<OutgoingMessage>, message: Message, targets: Vec<SocketAddrV4>) {
     if !targets.is_empty() {
-        outgoing.push(Outgoing { message, targets });
+        outgoing.push(OutgoingMessage { message, targets });
     }
 }
--- a/crates/cometmoor-gateway/src/membership/message.rs
+++ b/crates/cometmoor-gateway/src/membership/message.rs
@@ -116,7 +116,7 @@
     /// Work that it was asked of each model since its process began.
     pub demand: Vec<(ModelKey, ModelDemand)>,
     /// Models and adapters that its requests wait for now.
-    pub waited_for: Vec<ModelKey>,
+    pub awaited_models: Vec<ModelKey>,
     /// Contents that were present at crashes of servers, where that has changed lately.
     pub suspects: Vec<SuspectReport>,
     /// What servers report of themselves, where that has changed lately.
@@ -124,9 +124,9 @@
     /// What it tells of the servers' models while it orders them.
     pub placement: Option<Placement>,
     /// How many other nodes it knows.
-    pub members: u16,
+    pub member_count: u16,
     /// Some other nodes' addresses.
-    pub known: Vec<SocketAddrV4>,
+    pub known_peers: Vec<SocketAddrV4>,
 }
 
 /// A node, as a hub tells of it.
@@ -165,9 +165,9 @@
 
 /// What a node asks of a hub.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct DigestRequest {
     /// The version of the hub's list that the node has.
-    pub has: Option<RosterVersion>,
+    pub known_roster: Option<RosterVersion>,
     /// Whether it wants the servers' load too; one hub is enough for that.
     pub wants_loads: bool,
 }
@@ -178,11 +178,11 @@
     /// The version that it leads to.
     pub version: u64,
     /// The version that it starts from; none where it is the whole list.
-    pub since: Option<u64>,
+    pub base_version: Option<u64>,
     /// Nodes that are new or changed.
-    pub written: Vec<ZoneMembers>,
+    pub updated: Vec<ZoneMembers>,
     /// Nodes that have gone.
-    pub gone: Vec<SocketAddrV4>,
+    pub removed: Vec<SocketAddrV4>,
 }
 
 /// What a hub tells of many nodes together.
@@ -243,7 +243,7 @@
     /// A node tells of itself.
     Heartbeat(Heartbeat),
     /// A node tells a hub of itself, and asks for digests of the fleet.
-    HeartbeatToHub(Heartbeat, Question),
+    HeartbeatToHub(Heartbeat, DigestRequest),
     /// A hub tells other hubs of its zone.
     ZoneDigest(Digest),
     /// A hub tells a node of the fleet.
--- a/crates/cometmoor-gateway/src/membership/mod.rs
+++ b/crates/cometmoor-gateway/src/membership/mod.rs
@@ -24,11 +24,11 @@
 
 use cometmoor_core::time::Timestamp;
 
-pub use self::hubs::Outgoing;
+pub use self::hubs::OutgoingMessage;
 use self::leader_word::LeaderWord;
 pub use self::message::{
-    CopyAge, CopyVersions, Digest, Heartbeat, MemberEntry, Message, PeerPhase, Placement,
-    ProofAnswer, ProofRequest, Question, RosterUpdate, RosterVersion, ZoneMembers,
+    CopyAge, CopyVersions, Digest, DigestRequest, Heartbeat, MemberEntry, Message, PeerPhase,
+    Placement, ProofAnswer, ProofRequest, RosterUpdate, RosterVersion, ZoneMembers,
 };
 use self::peers::{DirectPeers, SUSPECT_AFTER};
 pub use self::peers::{Member, PeerChange, Rank};
@@ -97,9 +97,9 @@
     }
 
     /// Takes a heartbeat, unless a later one came before it.
-    pub fn receive(&mut self, heartbeat: Heartbeat, now: Timestamp) -> PeerChange {
+    pub fn receive_heartbeat(&mut self, heartbeat: Heartbeat, now: Timestamp) -> PeerChange {
         let address = heartbeat.peer_address;
-        for known in heartbeat.known.iter().take(MAX_KNOWN) {
+        for known in heartbeat.known_peers.iter().take(MAX_KNOWN) {
             self.add_contact(*known, now);
         }
         if self.is_large && self.knows_far_fewer(&heartbeat) {
@@ -117,35 +117,35 @@
     }
 
     /// Takes a heartbeat of a node that asks for digests.
-    pub fn receive_question(
+    pub fn receive_digest_request(
         &mut self,
         heartbeat: Heartbeat,
-        question: Question,
+        question: DigestRequest,
         now: Timestamp,
     ) -> PeerChange {
         self.hub.asked(heartbeat.peer_address, question, now);
-        self.receive(heartbeat, now)
+        self.receive_heartbeat(heartbeat, now)
     }
 
     /// Whether a node knows so few of the others that it has to be told; it may
     /// not know the hubs either.
     fn knows_far_fewer(&self, heartbeat: &Heartbeat) -> bool {
-        usize::from(heartbeat.members) * 4 < self.members.len() * 3
+        usize::from(heartbeat.member_count) * 4 < self.members.len() * 3
     }
 
     /// The number of other nodes that are there, as heartbeats tell it.
-    pub fn count(&self) -> u16 {
+    pub fn member_count(&self) -> u16 {
         u16::try_from(self.members.len()).unwrap_or(u16::MAX)
     }
 
     /// Takes what another hub told of its zone.
-    pub fn receive_zone(&mut self, digest: Digest, now: Timestamp) {
+    pub fn receive_zone_digest(&mut self, digest: Digest, now: Timestamp) {
         self.take_leader_word(&digest, now);
         self.zones.entry(digest.zone.clone()).or_default().take(digest, now);
     }
 
     /// Takes what a hub told of the fleet.
-    pub fn receive_fleet(&mut self, digest: Digest, now: Timestamp) {
+    pub fn receive_fleet_digest(&mut self, digest: Digest, now: Timestamp) {
         self.take_leader_word(&digest, now);
         self.asked.heard(digest.hub);
         self.fleet.take(digest, now);
@@ -224,18 +224,18 @@
     }
 
     /// Whether every node tells every other one.
-    pub fn is_small(&self) -> bool {
+    pub fn is_small_fleet(&self) -> bool {
         !self.is_large
     }
 
     /// Nodes, besides this one, that may be spending a common budget.
-    pub fn sharing(&self, now: Timestamp) -> usize {
+    pub fn recent_peer_count(&self, now: Timestamp) -> usize {
         self.seen.values().filter(|seen| now.since(**seen) <= SHARE_WINDOW).count()
     }
 
     /// Addresses that a heartbeat passes on: a few, others each time, so that
     /// all are told within some heartbeats.
-    pub fn known(&self, sequence: u64) -> Vec<SocketAddrV4> {
+    pub fn known_peers(&self, sequence: u64) -> Vec<SocketAddrV4> {
         let count = self.members.len();
         if count == 0 {
             return Vec::new();
@@ -254,7 +254,7 @@
     }
 
     /// The number of nodes ahead of this one by rank whom the store answers.
-    pub fn place(&self) -> usize {
+    pub fn preceding_nodes(&self) -> usize {
         self.ahead().0
     }
 
@@ -270,7 +270,7 @@
     /// hubs of this node that answer, then the nodes that read the store, by rank, so that
     /// the one on duty comes first.
     pub fn proof_sources(&self) -> Vec<SocketAddrV4> {
-        let is_hub = self.is_small() || self.is_hub();
+        let is_hub = self.is_small_fleet() || self.is_hub();
         let hubs: Vec<SocketAddrV4> = match is_hub {
             true => Vec::new(),
             false => self.asked.answering().collect(),
@@ -294,14 +294,14 @@
     }
 
     /// Models and adapters that requests of other nodes wait for.
-    pub fn waited_for(&self, now: Timestamp) -> HashSet<ModelKey> {
+    pub fn awaited_models(&self, now: Timestamp) -> HashSet<ModelKey> {
         let peers = self.direct.alive(now);
-        peers.flat_map(|peer| peer.heartbeat.waited_for.iter().copied()).collect()
+        peers.flat_map(|peer| peer.heartbeat.awaited_models.iter().copied()).collect()
     }
 
     /// Load of all other nodes by server. `told` is what this node told its hub
     /// of its own load, which the hub's sum holds too.
-    pub fn load(
+    pub fn remote_load(
         &self,
         told: &[(ServerKey, ServerLoad)],
         now: Timestamp,
@@ -340,7 +340,7 @@
 
     /// Whether nodes of a zone count by their own heartbeats, not by a digest.
     fn counts_here(&self, zone: &str) -> bool {
-        zone == self.zone || self.is_small()
+        zone == self.zone || self.is_small_fleet()
     }
 
     /// The newest digest of each other zone.
@@ -359,7 +359,7 @@
     /// The newest digest of the fleet, where this node does not hear all itself.
     fn newest_fleet_digest(&self, now: Timestamp) -> Option<&Digest> {
         let newest = self.fleet.newest_loads(now)?;
-        (!self.is_small() && !self.hub.is_on_duty(now)).then_some(newest)
+        (!self.is_small_fleet() && !self.hub.is_on_duty(now)).then_some(newest)
     }
 }
 
--- a/crates/cometmoor-gateway/src/membership/roster.rs
+++ b/crates/cometmoor-gateway/src/membership/roster.rs
@@ -82,12 +82,12 @@
         });
         Some(RosterUpdate {
             version: self.version,
-            since,
-            written: zones
+            base_version: since,
+            updated: zones
                 .into_iter()
                 .map(|(zone, members)| ZoneMembers { zone: zone.to_owned(), members })
                 .collect(),
-            gone: gone.map(|(_, address)| *address).collect(),
+            removed: gone.map(|(_, address)| *address).collect(),
         })
     }
 }
--- a/crates/cometmoor-gateway/src/membership/told.rs
+++ b/crates/cometmoor-gateway/src/membership/told.rs
@@ -132,13 +132,13 @@
 /// Applies a change to the members of a version of a hub's list; tells the version that
 /// they are of then. A change that starts from a later version is not applied.
 fn apply(members: &mut BTreeMap<SocketAddrV4, Member>, known: u64, update: RosterUpdate) -> u64 {
-    match update.since {
+    match update.base_version {
         Some(since) if known == 0 || since > known => return known,
         Some(_) if update.version < known => return known,
-        Some(_) => update.gone.iter().for_each(|address| drop(members.remove(address))),
+        Some(_) => update.removed.iter().for_each(|address| drop(members.remove(address))),
         None => members.clear(),
     }
-    members.extend(members_of(&update.written));
+    members.extend(members_of(&update.updated));
     update.version
 }
 
--- a/crates/cometmoor-gateway/src/node.rs
+++ b/crates/cometmoor-gateway/src/node.rs
@@ -25,8 +25,8 @@
 use crate::http::head::RequestHead;
 use crate::load::LoadBoard;
 use crate::metrics::{CopyLabels, Metrics, StateLabels};
-use crate::peer::{Subject, renewal_from_path};
-use crate::published::{Board, Phase, StopTimes};
+use crate::peer::{StorePrefix, lease_from_renewal_path};
+use crate::published::{Board, Phase, ShutdownTimes};
 use crate::quarantine::QuarantineBoard;
 use crate::quota::QuotaDesk;
 use crate::ready::{SmallAnswer, serve as serve_small};
@@ -279,8 +279,8 @@
         metrics.nodes.set(fleet.nodes.len() as i64);
         metrics.leads.set(i64::from(fleet.leads));
         let copies = [
-            (Subject::Configuration, fleet.confirmed),
-            (Subject::Servers, fleet.servers_confirmed),
+            (StorePrefix::Configuration, fleet.configuration_confirmed),
+            (StorePrefix::Servers, fleet.servers_confirmed),
         ];
         for (subject, confirmed) in copies {
             let age = confirmed.map_or(f64::INFINITY, |at| clock::elapsed(at).as_secs_f64());
@@ -342,10 +342,10 @@
     actix_rt::spawn(crate::ready::serve_waiting(listener, move |head: RequestHead| {
         let (fleet, context) = (fleet.clone(), context.clone());
         async move {
-            if let Some(lease) = renewal_from_path(head.path()) {
+            if let Some(lease) = lease_from_renewal_path(head.path()) {
                 return renewal_answer(&context, lease).await;
             }
-            match Subject::from_path(head.path()) {
+            match StorePrefix::from_mirror_path(head.path()) {
                 Some((subject, after)) => {
                     copy_answer(&fleet, &context.traffic, subject, after).await
                 }
@@ -359,12 +359,12 @@
 async fn copy_answer(
     fleet: &Addr<FleetState>,
     traffic: &ControlTraffic,
-    subject: Subject,
+    subject: StorePrefix,
     after: StorePosition,
 ) -> SmallAnswer {
     let kind = match subject {
-        Subject::Configuration => TrafficKind::ConfigurationCopy,
-        Subject::Servers => TrafficKind::ServersCopy,
+        StorePrefix::Configuration => TrafficKind::ConfigurationCopy,
+        StorePrefix::Servers => TrafficKind::ServersCopy,
     };
     match fleet.send(GetUpdate { subject, after }).await {
         Ok(Some(body)) => {
@@ -415,7 +415,7 @@
     info!("[node] leaving; clients are sent elsewhere", kv: { in_progress = loads.in_progress() as u64 });
     let grace = settings.grace();
     let ends = started + grace.saturating_sub(KILL_MARGIN);
-    let _ = fleet.send(BeginStop(StopTimes { began: started, ends })).await;
+    let _ = fleet.send(BeginStop(ShutdownTimes { started, deadline: ends })).await;
     let answers_kept = settings.directory_lifetime() * DIRECTORY_LIVES + DIRECTORY_SLACK;
     clock::sleep(answers_kept.min(grace.mul_f64(LAST_REQUEST_PART))).await;
     let _ = fleet.send(CloseToClients).await;
--- a/crates/cometmoor-gateway/src/peer.rs
+++ b/crates/cometmoor-gateway/src/peer.rs
@@ -25,29 +25,29 @@
 
 /// Which of the store's prefixes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Subject {
+pub enum StorePrefix {
     /// The configuration.
     Configuration,
     /// The servers.
     Servers,
 }
 
-impl Subject {
+impl StorePrefix {
     /// Both.
-    pub const ALL: [Subject; 2] = [Subject::Configuration, Subject::Servers];
+    pub const ALL: [StorePrefix; 2] = [StorePrefix::Configuration, StorePrefix::Servers];
 
     /// Name in paths and log lines.
     pub fn name(self) -> &'static str {
         match self {
-            Subject::Configuration => "configuration",
-            Subject::Servers => "servers",
+            StorePrefix::Configuration => "configuration",
+            StorePrefix::Servers => "servers",
         }
     }
 
     /// The subject of a peer's request, and the point that the peer's copy is of.
-    pub fn from_path(path: &str) -> Option<(Subject, StorePosition)> {
+    pub fn from_mirror_path(path: &str) -> Option<(StorePrefix, StorePosition)> {
         let (name, after) = path.strip_prefix(MIRROR_PATH)?.split_once('/')?;
-        let subject = Subject::ALL.into_iter().find(|subject| subject.name() == name)?;
+        let subject = StorePrefix::ALL.into_iter().find(|subject| subject.name() == name)?;
         Some((subject, after.parse().ok()?))
     }
 }
@@ -56,14 +56,14 @@
 const RENEWAL_PATH: &str = "/peer/renewal/";
 
 /// The lease that a peer asks to have renewed.
-pub fn renewal_from_path(path: &str) -> Option<StoreLease> {
+pub fn lease_from_renewal_path(path: &str) -> Option<StoreLease> {
     let (era, id) = path.strip_prefix(RENEWAL_PATH)?.split_once('/')?;
     Some(StoreLease { era: era.parse().ok()?, id: id.parse().ok()? })
 }
 
 /// Asks a peer to renew a lease at the store, which turns this node away.
 /// Tells whether the lease goes on.
-pub async fn renew_through(peer: SocketAddrV4, lease: StoreLease) -> Result<bool, PeerError> {
+pub async fn renew_via_peer(peer: SocketAddrV4, lease: StoreLease) -> Result<bool, PeerError> {
     let call = Call::new("GET", format!("{RENEWAL_PATH}{}/{}", lease.era, lease.id));
     let renewal = CallClient::new(peer).call(&call, RENEWAL_TIMEOUT).await;
     let answer = renewal.map_err(PeerError::Call)?;
@@ -86,7 +86,7 @@
 /// Asks a peer for what its copy has beyond a point in the store's history.
 pub async fn fetch_update(
     peer: SocketAddrV4,
-    subject: Subject,
+    subject: StorePrefix,
     after: StorePosition,
 ) -> Result<MirrorUpdate, PeerError> {
     let call = Call::new("GET", format!("{MIRROR_PATH}{}/{after}", subject.name()));
--- a/crates/cometmoor-gateway/src/published.rs
+++ b/crates/cometmoor-gateway/src/published.rs
@@ -33,16 +33,16 @@
 
 /// When a planned stop began, and when the process ends at the latest.
 #[derive(Clone, Copy, Debug)]
-pub struct StopTimes {
+pub struct ShutdownTimes {
     /// When it began.
-    pub began: BootInstant,
+    pub started: BootInstant,
     /// When what is left is cut off.
-    pub ends: BootInstant,
+    pub deadline: BootInstant,
 }
 
 /// A node that clients may use.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ClientNode {
+pub struct NodeEndpoint {
     /// Where it takes requests.
     pub address: SocketAddrV4,
     /// Its zone.
@@ -51,7 +51,7 @@
 
 /// State of the fleet, as this node believes it.
 #[derive(Clone, Debug, Default)]
-pub struct Published {
+pub struct FleetSnapshot {
     /// Rises with each publication.
     pub generation: u64,
     /// Whether the node takes part.
@@ -70,9 +70,9 @@
     /// Servers in the registry.
     pub servers: Vec<Arc<ServerRecord>>,
     /// Nodes that take requests, this one included.
-    pub nodes: Vec<ClientNode>,
+    pub nodes: Vec<NodeEndpoint>,
     /// When the store or a peer last confirmed the configuration.
-    pub confirmed: Option<BootInstant>,
+    pub configuration_confirmed: Option<BootInstant>,
     /// When the store or a peer last confirmed the servers' entries.
     pub servers_confirmed: Option<BootInstant>,
     /// Whether this node is among those that read the store themselves.
@@ -84,14 +84,14 @@
     /// When the leading node was last heard.
     pub leader_heard: Option<BootInstant>,
     /// Set while the node is about to stop.
-    pub stop: Option<StopTimes>,
+    pub shutdown: Option<ShutdownTimes>,
     /// Most nodes that were seen lately, for shares of a common budget.
-    pub nodes_seen: usize,
+    pub recent_nodes: usize,
     /// Nodes that are there now, this one included.
-    pub nodes_heard: usize,
+    pub live_nodes: usize,
 }
 
-impl Published {
+impl FleetSnapshot {
     /// Time since the configuration was shown to be the store's newest.
     pub fn proof_age(&self) -> Option<Duration> {
         self.configuration_proven.map(clock::elapsed)
@@ -143,7 +143,7 @@
 #[derive(Debug, Default)]
 pub struct Board {
     /// State of the fleet.
-    pub fleet: ArcSwap<Published>,
+    pub fleet: ArcSwap<FleetSnapshot>,
     /// Load of the other nodes by server.
     pub remote_load: ArcSwap<HashMap<ServerKey, ServerLoad>>,
     /// What the leading node told.
--- a/crates/cometmoor-gateway/src/servers.rs
+++ b/crates/cometmoor-gateway/src/servers.rs
@@ -19,7 +19,7 @@
 use crate::http::client::CallClient;
 use crate::load::{ModelKey, ServerKey, model_key, server_key};
 use crate::pool::Pool;
-use crate::published::{PlacementView, Published};
+use crate::published::{FleetSnapshot, PlacementView};
 use crate::signals::SignalBoard;
 
 /// First pause after a server could not be reached.
@@ -295,7 +295,7 @@
     }
 
     /// Takes a newer publication in.
-    pub fn update(&mut self, fleet: &Published) {
+    pub fn update(&mut self, fleet: &FleetSnapshot) {
         if fleet.generation == self.generation {
             return;
         }
--- a/crates/cometmoor-gateway/tests/directory.rs
+++ b/crates/cometmoor-gateway/tests/directory.rs
@@ -4,15 +4,15 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use cometmoor_gateway::directory::addresses;
-use cometmoor_gateway::published::ClientNode;
+use cometmoor_gateway::published::NodeEndpoint;
 
 const ZONES: usize = 6;
 
-fn fleet(count: usize) -> Vec<ClientNode> {
+fn fleet(count: usize) -> Vec<NodeEndpoint> {
     let node = |index: usize| {
         let [high, low] = u16::try_from(index).unwrap().to_be_bytes();
         let address = SocketAddrV4::new(Ipv4Addr::new(10, 0, high, low), 7000);
-        ClientNode { address, zone: format!("zone-{}", index % ZONES) }
+        NodeEndpoint { address, zone: format!("zone-{}", index % ZONES) }
     };
     (0..count).map(node).collect()
 }
--- a/crates/cometmoor-gateway/tests/membership.rs
+++ b/crates/cometmoor-gateway/tests/membership.rs
@@ -57,7 +57,7 @@
     let others = world.nodes.len() as u32 - 1;
     let told = [(SERVER, ServerLoad { in_flight: 1, pending: PendingWork::default() })];
     let check = |(own, node): (&SocketAddrV4, &Node)| {
-        let load: HashMap<u32, ServerLoad> = node.membership.load(&told, now);
+        let load: HashMap<u32, ServerLoad> = node.membership.remote_load(&told, now);
         let in_flight = load.get(&SERVER).map_or(0, |load| load.in_flight);
         let leader = node.membership.placement(now).map(|(placement, _)| placement.leader);
         let knows_leader = Some(*own) == world.leader || leader == world.leader;
--- a/crates/cometmoor-gateway/tests/servers.rs
+++ b/crates/cometmoor-gateway/tests/servers.rs
@@ -6,7 +6,7 @@
 
 use cometmoor_core::gateway::registry::{LoadedModel, ServerRecord, ServerState};
 use cometmoor_gateway::dialect::ModelName;
-use cometmoor_gateway::published::{PlacementView, Published};
+use cometmoor_gateway::published::{FleetSnapshot, PlacementView};
 use cometmoor_gateway::servers::ServerTable;
 use cometmoor_gateway::signals::SignalBoard;
 
@@ -32,7 +32,7 @@
 
 fn publish(table: &mut ServerTable, generation: u64, models: &[&str]) {
     let servers = vec![Arc::new(record(models))];
-    table.update(&Published { generation, servers, ..Published::default() });
+    table.update(&FleetSnapshot { generation, servers, ..FleetSnapshot::default() });
 }
 
 /// While the store is down, a server's entry goes on to tell of a model that was
--- a/crates/cometmoor-gateway/tests/world/mod.rs
+++ b/crates/cometmoor-gateway/tests/world/mod.rs
@@ -184,7 +184,7 @@
             store_fails: false,
             loads: tells_load.then_some(loads),
             demand: Vec::new(),
-            waited_for: Vec::new(),
+            awaited_models: Vec::new(),
             suspects: node.quarantine.next_reports(now),
             signals: node.signals.next_reports(since_boot(now)),
             placement: leads.then(|| Placement {
@@ -194,8 +194,8 @@
                 added: vec![(SERVER, self.placement as u32)],
                 withdrawn: Vec::new(),
             }),
-            members: node.membership.count(),
-            known: node.membership.known(node.sequence),
+            member_count: node.membership.member_count(),
+            known_peers: node.membership.known_peers(node.sequence),
         }
     }
 
@@ -213,7 +213,7 @@
             if (turn + index as u64).is_multiple_of(TURNS_OF_TICK) {
                 membership.tick(now);
             }
-            let turns = if membership.is_small() {
+            let turns = if membership.is_small_fleet() {
                 TURNS_OF_SMALL_FLEET
             } else {
                 self.turns_of_large_fleet
@@ -262,24 +262,24 @@
             Message::Heartbeat(heartbeat) => {
                 node.quarantine.merge(&heartbeat.suspects, now);
                 node.signals.merge(&heartbeat.signals, since_boot(now));
-                let change = node.membership.receive(heartbeat, now);
+                let change = node.membership.receive_heartbeat(heartbeat, now);
                 node.note_change(change);
             }
             Message::HeartbeatToHub(heartbeat, question) => {
                 node.quarantine.merge(&heartbeat.suspects, now);
                 node.signals.merge(&heartbeat.signals, since_boot(now));
-                let change = node.membership.receive_question(heartbeat, question, now);
+                let change = node.membership.receive_digest_request(heartbeat, question, now);
                 node.note_change(change);
             }
             Message::ZoneDigest(digest) => {
                 node.quarantine.merge(&digest.suspects, now);
                 node.signals.merge(&digest.signals, since_boot(now));
-                node.membership.receive_zone(digest, now);
+                node.membership.receive_zone_digest(digest, now);
             }
             Message::FleetDigest(digest) => {
                 node.quarantine.merge(&digest.suspects, now);
                 node.signals.merge(&digest.signals, since_boot(now));
-                node.membership.receive_fleet(digest, now);
+                node.membership.receive_fleet_digest(digest, now);
             }
             // Proofs are no part of membership.
             Message::ProofRequest(_) | Message::ProofAnswer(_) => {}
