--- a/crates/cometmoor-gateway/tests/membership.rs
+++ b/crates/cometmoor-gateway/tests/membership.rs
@@ -9,14 +9,14 @@
 use cometmoor_core::time::Timestamp;
 use cometmoor_gateway::load::{PendingWork, ServerLoad};
 
-use world::{Node, SERVER, World, address, zone_of};
+use world::{Node, SHARED_SERVER, World, address, zone_of};
 
 #[test]
 fn nodes_of_small_and_large_fleets_find_one_another() {
     for (count, seed) in [(2, 1), (9, 2), (16, 3), (17, 4), (40, 5), (130, 6)] {
         let mut world = World::new(seed);
         world.start(0..count);
-        assert_eq!(world.misinformed_after(8), Vec::<String>::new(), "{count} nodes");
+        assert_eq!(world.unconverged_after(8), Vec::<String>::new(), "{count} nodes");
     }
 }
 
@@ -27,13 +27,13 @@
         world.start(0..60);
         world.run(8);
         for _ in 0..20 {
-            let victim = world.draw(world.nodes.len() as u64) as usize;
+            let victim = world.random_below(world.nodes.len() as u64) as usize;
             let victim = *world.nodes.keys().nth(victim).unwrap();
             world.nodes.remove(&victim);
         }
-        assert_eq!(world.misinformed_after(6), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(world.unconverged_after(6), Vec::<String>::new(), "seed {seed}");
         world.start(60..70);
-        assert_eq!(world.misinformed_after(6), Vec::<String>::new(), "seed {seed}, ten more");
+        assert_eq!(world.unconverged_after(6), Vec::<String>::new(), "seed {seed}, ten more");
     }
 }
 
@@ -42,12 +42,12 @@
     let mut world = World::new(11);
     world.start(0..45);
     world.run(8);
-    world.cut = Some(1);
+    world.isolated_zone = Some(1);
     world.run(60);
     let near = world.nodes.iter().find(|(own, _)| zone_of(**own) == 1).unwrap().1;
     assert_eq!(near.membership.members().len(), 14, "only its own zone");
-    world.cut = None;
-    assert_eq!(world.misinformed_after(12), Vec::<String>::new());
+    world.isolated_zone = None;
+    assert_eq!(world.unconverged_after(12), Vec::<String>::new());
 }
 
 /// Nodes that do not reckon with one request of each other node, or that do not
@@ -55,10 +55,10 @@
 fn nodes_with_wrong_load(world: &World) -> Vec<String> {
     let now = Timestamp(world.now);
     let others = world.nodes.len() as u32 - 1;
-    let told = [(SERVER, ServerLoad { in_flight: 1, pending: PendingWork::default() })];
+    let told = [(SHARED_SERVER, ServerLoad { in_flight: 1, pending: PendingWork::default() })];
     let check = |(own, node): (&SocketAddrV4, &Node)| {
         let load: HashMap<u32, ServerLoad> = node.membership.remote_load(&told, now);
-        let in_flight = load.get(&SERVER).map_or(0, |load| load.in_flight);
+        let in_flight = load.get(&SHARED_SERVER).map_or(0, |load| load.in_flight);
         let leader = node.membership.placement(now).map(|(placement, _)| placement.leader);
         let knows_leader = Some(*own) == world.leader || leader == world.leader;
         (in_flight != others || !knows_leader).then(|| format!("{own}: {in_flight}, {leader:?}"))
@@ -68,15 +68,15 @@
 
 #[test]
 fn nodes_know_the_load_of_all_others_and_what_the_leader_tells() {
-    for (count, leaves_load_out) in [(8, false), (60, false), (60, true)] {
+    for (count, omits_alternate_loads) in [(8, false), (60, false), (60, true)] {
         let mut world = World::new(3);
-        world.leaves_load_out = leaves_load_out;
+        world.omits_alternate_loads = omits_alternate_loads;
         world.start(0..count);
         world.leader = Some(address(5));
         // As with who is there, a moment is waited for in which no loss shows.
         let is_wrong = |world: &World| !nodes_with_wrong_load(world).is_empty();
         while world.now < 12_000 && is_wrong(&world) {
-            world.turn();
+            world.step();
         }
         assert_eq!(nodes_with_wrong_load(&world), Vec::<String>::new(), "{count} nodes");
     }
@@ -92,7 +92,7 @@
         world.leader = Some(address(0));
         world.run(6);
         for placement in 2..=6 {
-            world.placement = placement;
+            world.placement_sequence = placement;
             world.run(2);
             let now = Timestamp(world.now);
             let heard = |node: &Node| node.membership.placement(now).map(|(told, _)| told.sequence);
--- a/crates/cometmoor-gateway/tests/sight.rs
+++ b/crates/cometmoor-gateway/tests/membership_at_scale.rs
@@ -8,10 +8,10 @@
 
 use cometmoor_gateway::membership::{Member, Rank};
 
-use world::{Link, TURN, World, zone_of};
+use world::{Link, STEP_MILLIS, World, zone_of};
 
 /// A link of 20 Mbit/s, and as many bytes as the port of a small switch holds.
-const LINK: Link = Link { bytes_a_turn: 125_000, queue: 128 * 1024 };
+const LINK: Link = Link { bytes_per_step: 125_000, queue_bytes: 128 * 1024 };
 const ZONES: usize = 5;
 /// Turns between two heartbeats up to 400 nodes.
 const TURNS_OF_HEARTBEAT: u64 = 4;
@@ -29,7 +29,7 @@
     world.zones = ZONES;
     world.servers = SERVERS;
     world.link = Some(LINK);
-    world.turns_of_large_fleet = TURNS_OF_HEARTBEAT;
+    world.large_fleet_heartbeat_steps = TURNS_OF_HEARTBEAT;
     world.start(0..nodes);
     world
 }
@@ -53,7 +53,7 @@
 fn first_blind(world: &mut World, millis: u64) -> Vec<String> {
     let end = world.now + millis;
     while world.now < end {
-        world.turn();
+        world.step();
         let blind = blind(world);
         if !blind.is_empty() {
             return blind.into_iter().take(4).collect();
@@ -116,7 +116,7 @@
         }
         let blind = first_blind(&mut world, 8_000);
         assert_eq!(blind, Vec::<String>::new(), "one in {share} hubs of the zones {zones:?}");
-        assert_eq!(world.misinformed_after(6), Vec::<String>::new(), "the dead are forgotten");
+        assert_eq!(world.unconverged_after(6), Vec::<String>::new(), "the dead are forgotten");
     }
 }
 
@@ -129,7 +129,7 @@
     for zone in [0, 2, 4] {
         hubs_of(&world, zone).iter().for_each(|hub| drop(world.nodes.remove(hub)));
     }
-    assert_eq!(world.misinformed_after(7), Vec::<String>::new());
+    assert_eq!(world.unconverged_after(7), Vec::<String>::new());
 }
 
 /// What a node sends and receives for control has a budget; a hub sends for its nodes.
@@ -139,7 +139,7 @@
     /// Bytes a second that a node may send for control in the median.
     const BUDGET: usize = 21 * 1024;
     /// The same for the busiest hub: a fifth of its link.
-    const HUB_BUDGET: usize = LINK.bytes_a_turn * 1000 / TURN as usize / 5;
+    const HUB_BUDGET: usize = LINK.bytes_per_step * 1000 / STEP_MILLIS as usize / 5;
     let mut world = fleet(300, 5);
     world.run(KNOWN_AFTER / 1000 + 3);
     world.nodes.values_mut().for_each(|node| node.sent = 0);
--- a/crates/cometmoor-gateway/tests/quarantine.rs
+++ b/crates/cometmoor-gateway/tests/quarantine.rs
@@ -14,7 +14,7 @@
 /// The request that crashes its servers.
 const DEADLY: Fingerprint = Fingerprint(u64::MAX);
 /// A link of 20 Mbit/s, and as many bytes as the port of a small switch holds.
-const LINK: Link = Link { bytes_a_turn: 125_000, queue: 128 * 1024 };
+const LINK: Link = Link { bytes_per_step: 125_000, queue_bytes: 128 * 1024 };
 /// Turns between two heartbeats up to 400 nodes.
 const TURNS_OF_HEARTBEAT: u64 = 4;
 /// Time for which nodes must have heard of the third crash, in milliseconds.
@@ -67,7 +67,7 @@
     fn new(nodes: usize, servers: u64, seed: u64) -> Play {
         let mut world = World::new(seed);
         world.link = Some(LINK);
-        world.turns_of_large_fleet = TURNS_OF_HEARTBEAT;
+        world.large_fleet_heartbeat_steps = TURNS_OF_HEARTBEAT;
         world.start(0..nodes);
         world.run(5);
         Play {
@@ -83,7 +83,7 @@
     }
 
     fn any_node(&mut self) -> SocketAddrV4 {
-        let place = self.world.draw(self.world.nodes.len() as u64) as usize;
+        let place = self.world.random_below(self.world.nodes.len() as u64) as usize;
         *self.world.nodes.keys().nth(place).unwrap()
     }
 
@@ -103,7 +103,7 @@
             Some(third) if self.world.now - third <= CONTACT_MILLIS => self.figures.sent_soon += 1,
             Some(_) => self.figures.sent_late += 1,
         }
-        let place = self.world.draw(self.servers);
+        let place = self.world.random_below(self.servers);
         self.server_crashes(node, place);
         if self.crashed == CRASH_LIMIT as u64 {
             self.third = Some(self.world.now);
@@ -155,7 +155,7 @@
                 self.figures.refused += 1;
                 continue;
             }
-            let place = self.world.draw(self.servers);
+            let place = self.world.random_below(self.servers);
             self.running.push((content, place, now + RUNS_FOR));
         }
         let running = std::mem::take(&mut self.running);
@@ -178,7 +178,7 @@
                 self.deadly_comes();
             }
             self.cut_ones_return();
-            self.world.turn();
+            self.world.step();
         }
         self.figures
     }
--- a/crates/cometmoor-gateway/tests/quota_world/cuts.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/cuts.rs
@@ -5,8 +5,8 @@
 /// Cuts a third of the nodes off, one zone from the others.
 pub fn cut_a_third<Policy: SimulatedPolicy>(world: &mut QuotaWorld<Policy>, second: u64) {
     match second {
-        2 => world.world.cut = Some(1),
-        10 => world.world.cut = None,
+        2 => world.world.isolated_zone = Some(1),
+        10 => world.world.isolated_zone = None,
         _ => {}
     }
 }
--- a/crates/cometmoor-gateway/tests/quota_world/mod.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/mod.rs
@@ -53,7 +53,7 @@
 const LOOK: u64 = 250_000;
 const BUSY_TICK: u64 = 20_000;
 const IDLE_TICK: u64 = 250_000;
-const TURN: u64 = world::TURN * 1000;
+const TURN: u64 = world::STEP_MILLIS * 1000;
 /// Time between two heartbeats that tell of use, and how many heartbeats old it is when it
 /// is heard.
 const HEAR: u64 = 200_000;
@@ -291,7 +291,7 @@
     fn happen(&mut self, event: Event<Policy::Message>) {
         match event {
             Event::Turn => {
-                self.world.turn();
+                self.world.step();
                 self.push(TURN, Event::Turn);
             }
             Event::Arrives { tenant } if tenant & NO_REQUEST != 0 => {
@@ -503,7 +503,7 @@
     fn reaches(&self, from: SocketAddrV4, to: SocketAddrV4) -> bool {
         let is_cut = |zone: usize| (zone_of(from) == zone) != (zone_of(to) == zone);
         let is_isolated = self.isolated.contains(&from) || self.isolated.contains(&to);
-        !is_isolated && !self.world.cut.is_some_and(is_cut)
+        !is_isolated && !self.world.isolated_zone.is_some_and(is_cut)
     }
 }
 
--- a/crates/cometmoor-gateway/tests/signals_spread.rs
+++ b/crates/cometmoor-gateway/tests/signals_spread.rs
@@ -56,7 +56,7 @@
         {
             reads(world, node, signals);
         }
-        world.turn();
+        world.step();
     }
     None
 }
@@ -99,11 +99,11 @@
 fn a_zone_that_is_cut_off_learns_what_was_reported_meanwhile() {
     let mut world = fleet(30, 9);
     let first = *world.nodes.keys().next().unwrap();
-    world.cut = Some((zone_of(first) + 1) % 3);
+    world.isolated_zone = Some((zone_of(first) + 1) % 3);
     world.run(2);
     reads(&mut world, first, leaving());
     world.run(8);
-    world.cut = None;
+    world.isolated_zone = None;
     let after =
         known_after(&mut world, END_KNOWN_BY, None, |_, signals| signals.is_leaving(server()));
     println!("a zone knows {after:?} ms after its cut has ended");
--- a/crates/cometmoor-gateway/tests/world/mod.rs
+++ b/crates/cometmoor-gateway/tests/world/mod.rs
@@ -17,7 +17,7 @@
 /// Time for which machines run when the world begins.
 const BOOTED_BEFORE: Duration = Duration::from_secs(1000);
 /// Time between two turns of the world, in milliseconds.
-pub const TURN: u64 = 50;
+pub const STEP_MILLIS: u64 = 50;
 /// Turns between two heartbeats of a node; in the largest fleets, whose pauses are long.
 const TURNS_OF_SMALL_FLEET: u64 = 4;
 const TURNS_OF_LARGE_FLEET: u64 = 8;
@@ -30,7 +30,7 @@
 /// Most servers that a node puts load on.
 const LOADED: u32 = 5;
 /// The one server that all nodes put load on.
-pub const SERVER: u32 = 7;
+pub const SHARED_SERVER: u32 = 7;
 
 /// A node.
 pub struct Node {
@@ -64,9 +64,9 @@
 #[derive(Clone, Copy)]
 pub struct Link {
     /// Bytes in a turn.
-    pub bytes_a_turn: usize,
+    pub bytes_per_step: usize,
     /// Bytes that wait at most; what comes beyond is lost.
-    pub queue: usize,
+    pub queue_bytes: usize,
 }
 
 /// The fleet.
@@ -80,14 +80,14 @@
     /// Servers in the fleet; each node puts load on a few of them.
     pub servers: u32,
     /// Turns between two heartbeats of a node in a large fleet.
-    pub turns_of_large_fleet: u64,
+    pub large_fleet_heartbeat_steps: u64,
     /// The nodes' links; without, all is carried.
     pub link: Option<Link>,
     /// Whether every second heartbeat leaves the load out, as early ones do.
-    pub leaves_load_out: bool,
-    pub placement: u64,
+    pub omits_alternate_loads: bool,
+    pub placement_sequence: u64,
     /// Zone whose nodes are cut off from all others.
-    pub cut: Option<usize>,
+    pub isolated_zone: Option<usize>,
     random: u64,
 }
 
@@ -120,11 +120,11 @@
             leader: None,
             zones: ZONES,
             servers: 1,
-            turns_of_large_fleet: TURNS_OF_LARGE_FLEET,
+            large_fleet_heartbeat_steps: TURNS_OF_LARGE_FLEET,
             link: None,
-            leaves_load_out: false,
-            placement: 1,
-            cut: None,
+            omits_alternate_loads: false,
+            placement_sequence: 1,
+            isolated_zone: None,
             random: seed | 1,
         }
     }
@@ -154,7 +154,7 @@
     }
 
     /// Next number below a bound, by SplitMix64.
-    pub fn draw(&mut self, below: u64) -> u64 {
+    pub fn random_below(&mut self, below: u64) -> u64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.random ^ (self.random >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -166,10 +166,11 @@
         let (leads, servers) = (self.leader == Some(own), self.servers);
         let node = self.nodes.get_mut(&own).unwrap();
         node.sequence += 1;
-        let tells_load = !self.leaves_load_out || node.sequence.is_multiple_of(2);
+        let tells_load = !self.omits_alternate_loads || node.sequence.is_multiple_of(2);
         let load = ServerLoad { in_flight: node.load, pending: PendingWork::default() };
         let first = u32::from(u16::from_be_bytes([own.ip().octets()[2], own.ip().octets()[3]]));
-        let loaded = (0..servers.min(LOADED)).map(|place| SERVER + (first + place) % servers);
+        let loaded =
+            (0..servers.min(LOADED)).map(|place| SHARED_SERVER + (first + place) % servers);
         let loads = loaded.map(|server| (server, load)).collect();
         Heartbeat {
             node: own.to_string(),
@@ -189,9 +190,9 @@
             signals: node.signals.next_reports(since_boot(now)),
             placement: leads.then(|| Placement {
                 token: 5,
-                sequence: self.placement,
+                sequence: self.placement_sequence,
                 leader: own,
-                added: vec![(SERVER, self.placement as u32)],
+                added: vec![(SHARED_SERVER, self.placement_sequence as u32)],
                 withdrawn: Vec::new(),
             }),
             member_count: node.membership.member_count(),
@@ -199,13 +200,13 @@
         }
     }
 
-    pub fn turn(&mut self) {
-        self.now += TURN;
+    pub fn step(&mut self) {
+        self.now += STEP_MILLIS;
         if let Some(link) = self.link {
             let nodes = self.nodes.values_mut();
-            nodes.for_each(|node| node.backlog = node.backlog.saturating_sub(link.bytes_a_turn));
+            nodes.for_each(|node| node.backlog = node.backlog.saturating_sub(link.bytes_per_step));
         }
-        let turn = self.now / TURN;
+        let turn = self.now / STEP_MILLIS;
         let now = Timestamp(self.now);
         let addresses: Vec<SocketAddrV4> = self.nodes.keys().copied().collect();
         for (index, own) in addresses.into_iter().enumerate() {
@@ -216,7 +217,7 @@
             let turns = if membership.is_small_fleet() {
                 TURNS_OF_SMALL_FLEET
             } else {
-                self.turns_of_large_fleet
+                self.large_fleet_heartbeat_steps
             };
             if (turn + index as u64).is_multiple_of(turns) {
                 self.send(own, now);
@@ -232,7 +233,7 @@
             let bytes = outgoing.message.encode();
             for target in outgoing.targets {
                 assert_ne!(target, own, "a node tells itself");
-                if self.takes_link(own, bytes.len()) && self.draw(1000) >= LOST {
+                if self.takes_link(own, bytes.len()) && self.random_below(1000) >= LOST {
                     self.deliver(own, target, &bytes, now);
                 }
             }
@@ -244,7 +245,7 @@
         let node = self.nodes.get_mut(&own).unwrap();
         node.sent += length;
         let Some(link) = self.link else { return true };
-        let has_room = node.backlog + length <= link.queue;
+        let has_room = node.backlog + length <= link.queue_bytes;
         if has_room {
             node.backlog += length;
         }
@@ -253,7 +254,7 @@
 
     fn deliver(&mut self, from: SocketAddrV4, to: SocketAddrV4, bytes: &[u8], now: Timestamp) {
         let is_cut = |zone: usize| (zone_of(from) == zone) != (zone_of(to) == zone);
-        if self.cut.is_some_and(is_cut) {
+        if self.isolated_zone.is_some_and(is_cut) {
             return;
         }
         let Some(node) = self.nodes.get_mut(&to) else { return };
@@ -288,27 +289,27 @@
 
     /// Lets time pass.
     pub fn run(&mut self, seconds: u64) {
-        for _ in 0..seconds * 1000 / TURN {
-            self.turn();
+        for _ in 0..seconds * 1000 / STEP_MILLIS {
+            self.step();
         }
     }
 
     /// Runs until all nodes know just the others, and tells who does not within
     /// the time. A node of which three heartbeats in a row were lost is taken for
     /// gone for a moment, so that it need not hold at a certain one.
-    pub fn misinformed_after(&mut self, seconds: u64) -> Vec<String> {
+    pub fn unconverged_after(&mut self, seconds: u64) -> Vec<String> {
         let end = self.now + seconds * 1000;
         loop {
-            let misinformed = self.misinformed();
+            let misinformed = self.unconverged();
             if misinformed.is_empty() || self.now >= end {
                 return misinformed;
             }
-            self.turn();
+            self.step();
         }
     }
 
     /// Nodes that do not know just the others that are there.
-    fn misinformed(&self) -> Vec<String> {
+    fn unconverged(&self) -> Vec<String> {
         let all: BTreeSet<SocketAddrV4> = self.nodes.keys().copied().collect();
         let told = self.nodes.iter().filter_map(|(own, node)| {
             let known: BTreeSet<SocketAddrV4> =
