--- a/crates/cometmoor-core/src/gateway/store_position.rs
+++ b/crates/cometmoor-core/src/gateway/store_position.rs
@@ -92,16 +92,16 @@
     }
 
     /// Records the number that came with an answer of the store to a call that was made when
-    /// `newest_then` was the newest known era. If the number does not distinguish eras, the
+    /// `newest_at_call` was the newest known era. If the number does not distinguish eras, the
     /// answer belongs to the newest era if that was known at the call, and otherwise may belong
     /// to an earlier one.
-    pub fn note_answer(&mut self, number: Option<u32>, newest_then: StoreEra) -> AnswerEra {
+    pub fn note_answer(&mut self, number: Option<u32>, newest_at_call: StoreEra) -> AnswerEra {
         let newest = self.newest();
         match number {
             Some(number) if number != newest.number => self.note(StoreEra::numbered(number)),
             Some(_) if newest.unannounced == 0 => self.note(newest),
-            _ if newest_then == newest => self.note(newest),
-            _ => AnswerEra::Past(newest_then),
+            _ if newest_at_call == newest => self.note(newest),
+            _ => AnswerEra::Past(newest_at_call),
         }
     }
 
