--- a/crates/cometmoor-core/src/gateway/quota/fleet_view.rs
+++ b/crates/cometmoor-core/src/gateway/quota/fleet_view.rs
@@ -1,4 +1,4 @@
-//! The nodes of the fleet as a node sees them, and which of them lends for which limit.
+//! A node's view of the fleet, and the ranking of the nodes that lend for each limit.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -7,38 +7,40 @@
 use super::QuotaKey;
 use crate::time::BootInstant;
 
-/// Time for which a node that is not there any more counts among those that share a limit:
-/// it may be cut off and go on by its share, until its keys lapse or the cut ends.
-const SHARES_FOR: Duration = Duration::from_secs(12);
-/// Shortest time after its start, or after it has slept, for which a node has to have
-/// watched the others.
-const SETTLES_FOR: Duration = Duration::from_millis(600);
-/// Time for which a node's view must not have grown much before it counts as whole.
-const STEADY_FOR: Duration = Duration::from_millis(400);
-/// Growth of the view that is not much.
-const STEADY_GROWTH: f64 = 1.05;
-/// Nodes that are ranked for each limit.
-const RANKED: usize = 4;
-
-/// The nodes as one of them sees them.
+/// Time for which a departed node still counts among those that share a limit. It may be
+/// partitioned and keep using its share until its keys expire or the partition heals.
+const DEPARTED_LIFETIME: Duration = Duration::from_secs(12);
+/// Minimum time for which a node has to observe the fleet after it starts, or resumes from a
+/// suspension, before its view is stable.
+const MIN_OBSERVATION: Duration = Duration::from_millis(600);
+/// Time without significant growth after which the view counts as complete.
+const STABLE_AFTER: Duration = Duration::from_millis(400);
+/// Growth of the view, as a factor, up to which it is not significant.
+const MAX_STABLE_GROWTH: f64 = 1.05;
+/// Number of lenders that are ranked for each limit.
+const RANKED_LENDERS: usize = 4;
+
+/// The fleet as this node sees it.
 #[derive(Clone, Debug)]
 pub struct FleetView {
     own: SocketAddrV4,
-    /// Nodes that all know from the start, if they are there.
+    /// Configured nodes that every node knows from its start, whether or not they are running.
     seeds: Vec<SocketAddrV4>,
     alive: Vec<SocketAddrV4>,
-    /// When each node was last there.
-    seen: HashMap<SocketAddrV4, BootInstant>,
-    /// Until when nodes that do not answer are passed over.
-    silent: HashMap<SocketAddrV4, BootInstant>,
-    /// The first nodes for each limit that was asked for since the view changed.
-    ranked: HashMap<QuotaKey, Vec<SocketAddrV4>>,
-    began: BootInstant,
-    /// Size of the view when it last grew much, and when.
-    grown: (usize, BootInstant),
+    /// When each node was last alive.
+    last_seen: HashMap<SocketAddrV4, BootInstant>,
+    /// Nodes that do not respond or do not lend yet, with the end of the time for which they are
+    /// skipped.
+    skipped_until: HashMap<SocketAddrV4, BootInstant>,
+    /// The highest-ranked nodes for each limit that was requested since the set of live nodes
+    /// changed.
+    ranked_lenders: HashMap<QuotaKey, Vec<SocketAddrV4>>,
+    started: BootInstant,
+    /// Size of the view at its last significant growth, and when that was.
+    last_growth: (usize, BootInstant),
 }
 
-/// Rank of a node for a limit; the highest is the first.
+/// Rendezvous hash of a limit and a node. The node with the highest score ranks first.
 fn score(key: QuotaKey, node: SocketAddrV4) -> u64 {
     let mut bytes = [0; 14];
     bytes[..8].copy_from_slice(&key.0.to_le_bytes());
@@ -48,84 +50,89 @@
 }
 
 impl FleetView {
-    /// A node that knows no other one but the seeds.
+    /// The view of a node that has just started and knows only the seeds.
     pub fn new(own: SocketAddrV4, seeds: Vec<SocketAddrV4>, now: BootInstant) -> FleetView {
         FleetView {
             own,
             seeds,
             alive: vec![own],
-            seen: HashMap::new(),
-            silent: HashMap::new(),
-            ranked: HashMap::new(),
-            began: now,
-            grown: (1, now),
+            last_seen: HashMap::new(),
+            skipped_until: HashMap::new(),
+            ranked_lenders: HashMap::new(),
+            started: now,
+            last_growth: (1, now),
         }
     }
 
-    /// This node.
+    /// Address of this node.
     pub fn own(&self) -> SocketAddrV4 {
         self.own
     }
 
-    /// Takes the nodes that are there.
+    /// Updates the set of live nodes.
     pub fn set_alive(&mut self, alive: &[SocketAddrV4], now: BootInstant) {
-        if alive.len() as f64 > self.grown.0 as f64 * STEADY_GROWTH {
-            self.grown = (alive.len(), now);
+        if alive.len() as f64 > self.last_growth.0 as f64 * MAX_STABLE_GROWTH {
+            self.last_growth = (alive.len(), now);
         }
         for node in alive {
-            self.seen.insert(*node, now);
+            self.last_seen.insert(*node, now);
         }
-        self.seen.retain(|_, seen| now.since(*seen) <= SHARES_FOR);
-        self.silent.retain(|_, until| now < *until);
+        self.last_seen.retain(|_, last_seen| now.since(*last_seen) <= DEPARTED_LIFETIME);
+        self.skipped_until.retain(|_, until| now < *until);
         if self.alive != alive {
             self.alive = alive.to_vec();
-            self.ranked.clear();
+            self.ranked_lenders.clear();
         }
     }
 
-    /// Notes that this node has slept: it has to watch the others anew.
+    /// Restarts the observation after this node was suspended, and stops skipping nodes.
     pub fn reset_stability(&mut self, now: BootInstant) {
-        self.began = now;
-        self.grown = (self.alive.len(), now);
-        self.silent.clear();
+        self.started = now;
+        self.last_growth = (self.alive.len(), now);
+        self.skipped_until.clear();
     }
 
-    /// Whether this node has watched the others for long enough to lend.
+    /// Whether this node has observed the fleet for long enough to lend.
     pub fn is_stable(&self, now: BootInstant) -> bool {
-        now.since(self.began) >= SETTLES_FOR && now.since(self.grown.1) >= STEADY_FOR
+        now.since(self.started) >= MIN_OBSERVATION && now.since(self.last_growth.1) >= STABLE_AFTER
     }
 
-    /// Time since this node began, or woke.
+    /// Time since this node started or resumed from a suspension.
     pub fn time_since_start(&self, now: BootInstant) -> Duration {
-        now.since(self.began)
+        now.since(self.started)
     }
 
-    /// Part of a limit that the nodes which are there may use: the others may be cut off
-    /// and use theirs.
+    /// Fraction of a limit that the live nodes may use. The other nodes may be partitioned and use
+    /// the rest.
     pub fn live_share(&self, now: BootInstant) -> f64 {
         let alive = self.alive.len().max(1);
         alive as f64 / self.sharing_count(now) as f64
     }
 
-    /// Nodes that may be using a part of a limit.
+    /// Number of nodes that may be using a part of a limit: those alive now or seen recently. At
+    /// least one.
     pub fn sharing_count(&self, now: BootInstant) -> usize {
-        let seen = self.seen.values().filter(|seen| now.since(**seen) <= SHARES_FOR).count();
-        seen.max(self.alive.len()).max(1)
+        let last_seen = self
+            .last_seen
+            .values()
+            .filter(|last_seen| now.since(**last_seen) <= DEPARTED_LIFETIME)
+            .count();
+        last_seen.max(self.alive.len()).max(1)
     }
 
-    /// The nodes that lend for a limit, the first one first.
+    /// The nodes that lend for a limit, highest-ranked first.
     pub fn lenders(&mut self, key: QuotaKey) -> &[SocketAddrV4] {
         let alive = &self.alive;
-        self.ranked.entry(key).or_insert_with(|| {
-            let mut ranked = alive.clone();
-            ranked.sort_unstable_by_key(|node| std::cmp::Reverse(score(key, *node)));
-            ranked.truncate(RANKED);
-            ranked
+        self.ranked_lenders.entry(key).or_insert_with(|| {
+            let mut ranked_lenders = alive.clone();
+            ranked_lenders.sort_unstable_by_key(|node| std::cmp::Reverse(score(key, *node)));
+            ranked_lenders.truncate(RANKED_LENDERS);
+            ranked_lenders
         })
     }
 
-    /// The nodes to ask for a limit, the best first: those that lend, or the seeds while
-    /// this node knows too little of the others. A seed knows who lends, or does so itself
+    /// The nodes to send a token request to, in order of preference: the lenders, preceded by the
+    /// seeds while the view of this node is not stable. A seed knows the lender, or lends itself
     /// while the whole fleet starts.
     pub fn lender_candidates(&mut self, key: QuotaKey, now: BootInstant) -> Vec<SocketAddrV4> {
         let mut nodes = Vec::new();
@@ -137,12 +144,12 @@
         nodes
     }
 
-    /// The nodes that are there, without this one.
+    /// The live nodes except this one.
     pub fn others(&self) -> impl Iterator<Item = SocketAddrV4> {
         self.alive.iter().copied().filter(|node| *node != self.own)
     }
 
-    /// The seeds, without this node.
+    /// The seeds except this node.
     pub fn other_seeds(&self) -> impl Iterator<Item = SocketAddrV4> {
         self.seeds.iter().copied().filter(|seed| *seed != self.own)
     }
@@ -152,48 +159,50 @@
         self.seeds.contains(&self.own)
     }
 
-    /// The first of the nodes that lend for a limit.
+    /// The highest-ranked lender for a limit; None if no node is alive.
     pub fn first_lender(&mut self, key: QuotaKey) -> Option<SocketAddrV4> {
         self.lenders(key).first().copied()
     }
 
-    /// The nodes that are asked before this one for a limit.
+    /// The lenders that rank above this node for a limit.
     pub fn lenders_above_own(&mut self, key: QuotaKey) -> Vec<SocketAddrV4> {
         let own = self.own;
         self.lenders(key).iter().copied().take_while(|node| *node != own).collect()
     }
 
-    /// Whether a node comes before another one for a limit.
+    /// Whether a node ranks above another one for a limit.
     pub fn ranks_above(&self, key: QuotaKey, node: SocketAddrV4, other: SocketAddrV4) -> bool {
         score(key, node) > score(key, other)
     }
 
-    /// The best of the nodes that have gone lately and come before this one.
+    /// The highest-ranked of the recently departed nodes that rank above this one for a limit.
     pub fn departed_lender_above_own(
         &self,
         key: QuotaKey,
         now: BootInstant,
     ) -> Option<SocketAddrV4> {
         let own = score(key, self.own);
-        let gone = self.seen.iter().filter(|(node, seen)| {
-            now.since(**seen) <= SHARES_FOR && !self.alive.contains(node) && **node != self.own
+        let departed = self.last_seen.iter().filter(|(node, last_seen)| {
+            now.since(**last_seen) <= DEPARTED_LIFETIME
+                && !self.alive.contains(node)
+                && **node != self.own
         });
-        let ahead = gone.map(|(node, _)| (score(key, *node), *node));
+        let ahead = departed.map(|(node, _)| (score(key, *node), *node));
         ahead.filter(|(score, _)| *score > own).max().map(|(_, node)| node)
     }
 
-    /// Passes a node over for a while that does not answer or does not lend yet.
+    /// Skips a node that does not respond or does not lend yet, for the given time.
     pub fn skip_for(&mut self, node: SocketAddrV4, time: Duration, now: BootInstant) {
-        self.silent.insert(node, now + time);
+        self.skipped_until.insert(node, now + time);
     }
 
-    /// Notes that a node has answered.
+    /// Records a response of a node, so that it is no longer skipped.
     pub fn note_response(&mut self, node: SocketAddrV4) {
-        self.silent.remove(&node);
+        self.skipped_until.remove(&node);
     }
 
-    /// Whether a node is passed over.
+    /// Whether a node is currently skipped.
     pub fn is_skipped(&self, node: SocketAddrV4, now: BootInstant) -> bool {
-        self.silent.get(&node).is_some_and(|until| now < *until)
+        self.skipped_until.get(&node).is_some_and(|until| now < *until)
     }
 }
--- a/crates/cometmoor-core/src/gateway/quota/lending/account_state.rs
+++ b/crates/cometmoor-core/src/gateway/quota/lending/account_state.rs
@@ -1,4 +1,4 @@
-//! Whether a book lends, or waits for other nodes' answers before it does.
+//! State of a lender's account: it lends, or awaits responses of other nodes before it does.
 
 use std::net::SocketAddrV4;
 
@@ -6,52 +6,52 @@
 use crate::gateway::quota::QuotaKey;
 use crate::time::BootInstant;
 
-/// By what a node lends.
+/// In which capacity a node lends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Role {
-    /// It comes first, as it sees the fleet.
-    First,
-    /// The first one does not answer; it may lend to others, too.
+pub(super) enum LenderRole {
+    /// The node ranks first in its view of the fleet.
+    Primary,
+    /// The first-ranked node does not respond. That node may still lend to others.
     Fallback,
-    /// It is a seed, and the fleet starts.
-    Start,
+    /// The node is a seed, and the fleet is starting.
+    Bootstrap,
 }
 
-/// How a book stands.
+/// State of a lender's account.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Standing {
-    /// Tokens are lent.
-    Lends(Role),
-    /// Other nodes' answers are awaited.
-    Awaits(Awaited),
+pub(super) enum AccountState {
+    /// Lends tokens.
+    Lending(LenderRole),
+    /// Awaits responses of other nodes.
+    Awaiting(PendingQuery),
 }
 
-/// Answers that a book waits for.
+/// A query whose responses an account awaits.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Awaited {
-    pub(super) what: Question,
-    /// Nodes that have not answered.
-    pub(super) from: Vec<SocketAddrV4>,
-    pub(super) began: BootInstant,
-    pub(super) is_asked_again: bool,
+pub(super) struct PendingQuery {
+    pub(super) query: PeerQuery,
+    /// Nodes that have not responded yet.
+    pub(super) unanswered: Vec<SocketAddrV4>,
+    pub(super) sent_at: BootInstant,
+    pub(super) is_resent: bool,
 }
 
-/// What other nodes are asked before a book lends.
+/// What other nodes are asked before an account lends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Question {
-    /// What is left in their books; the least that was answered.
-    Left(Option<f64>),
-    /// Whether one that is asked before this node lends.
-    OneAheadLends,
-    /// Whether another seed knows more than this one.
-    SeedKnows,
+pub(super) enum PeerQuery {
+    /// What remains in their accounts; holds the lowest amount reported so far.
+    Handover(Option<f64>),
+    /// Whether a node that ranks above this one lends.
+    HigherRankedLends,
+    /// Whether another seed has a stable view of the fleet.
+    SeedInformed,
 }
 
-impl Question {
+impl PeerQuery {
     pub(super) fn message(self, key: QuotaKey) -> LendingMessage {
         match self {
-            Question::Left(_) => LendingMessage::TakeOver { key },
-            Question::OneAheadLends | Question::SeedKnows => LendingMessage::Probe { key },
+            PeerQuery::Handover(_) => LendingMessage::TakeOver { key },
+            PeerQuery::HigherRankedLends | PeerQuery::SeedInformed => LendingMessage::Probe { key },
         }
     }
 }
--- a/crates/cometmoor-core/src/gateway/quota/lending/borrower.rs
+++ b/crates/cometmoor-core/src/gateway/quota/lending/borrower.rs
@@ -1,4 +1,4 @@
-//! What a node has been lent, and the requests that wait for more.
+//! Tokens that a node has borrowed, and the requests that wait for more.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -8,135 +8,135 @@
 use crate::gateway::quota::{Decision, QuotaKey, Settled, Ticket, VersionedLimit};
 use crate::time::BootInstant;
 
-/// Time for which what was lent may be used.
-const LENT_FOR: Duration = Duration::from_millis(500);
-/// Time for which a node asks ahead.
-const AHEAD: Duration = Duration::from_millis(250);
-/// Longest time for which a refusal counts for the requests that follow.
-const DENIED_FOR: Duration = Duration::from_millis(100);
-/// Time over which a limit's rate at this node is averaged.
-const RATE_SPAN: Duration = Duration::from_secs(2);
-/// Weight of the newest request in the mean cost of a limit's requests.
-const NEWEST_WEIGHT: f64 = 0.1;
-/// Time after which a node that has not answered is asked once more.
-pub(super) const ASK_AGAIN_AFTER: Duration = Duration::from_millis(40);
-/// Time after which it is passed over.
-pub(super) const GIVE_UP_AFTER: Duration = Duration::from_millis(120);
-/// Longest wait of a request: for a lender, and for its tokens.
-const LONGEST_WAIT: Duration = Duration::from_millis(600);
+/// Time for which borrowed tokens may be used.
+const LOAN_LIFETIME: Duration = Duration::from_millis(500);
+/// Span of expected demand for which tokens are borrowed in advance.
+const PREFETCH_SPAN: Duration = Duration::from_millis(250);
+/// Longest time for which a denial also applies to later requests.
+const MAX_DENIAL_AGE: Duration = Duration::from_millis(100);
+/// Time constant of the average demand for a limit at this node.
+const RATE_AVERAGING_SPAN: Duration = Duration::from_secs(2);
+/// Weight of the newest request in the average cost of requests.
+const COST_AVERAGE_WEIGHT: f64 = 0.1;
+/// Time without a response after which a token request is sent again.
+pub(super) const RESEND_AFTER: Duration = Duration::from_millis(40);
+/// Time without a response after which the lender is skipped.
+pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(120);
+/// Longest wait of a request, for a lender and for its tokens.
+const MAX_REQUEST_WAIT: Duration = Duration::from_millis(600);
 
-/// A request that waits.
+/// A request that waits for tokens.
 #[derive(Clone, Copy, Debug)]
-struct Waiting {
+struct WaitingRequest {
     ticket: Ticket,
     cost: f64,
     since: BootInstant,
-    /// Since when it waits for tokens of a fallback lender.
+    /// When a fallback lender first denied it tokens.
     denied_since: Option<BootInstant>,
 }
 
-/// How a node came to be asked.
+/// Why a token request goes to its target.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct AskWay {
-    /// Whether nodes that come before it do not answer.
+pub(super) struct RequestMode {
+    /// Whether higher-ranked lenders do not respond.
     pub(super) is_failover: bool,
-    /// Whether this node knows too little of the others.
+    /// Whether the view of this node is not stable yet.
     pub(super) is_bootstrap: bool,
 }
 
-/// A question without an answer.
+/// A token request that awaits its response.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct OpenAsk {
-    pub(super) ask: TokenRequest,
+pub(super) struct InFlightRequest {
+    pub(super) request: TokenRequest,
     pub(super) target: SocketAddrV4,
-    /// Places of lenders that the question has been sent on to.
+    /// Number of times that the request was redirected.
     pub(super) redirects: u32,
     pub(super) first_sent: BootInstant,
-    pub(super) sent: BootInstant,
+    pub(super) last_sent: BootInstant,
 }
 
-/// What was last refused.
+/// The last denial, which also applies to requests of at least the same cost.
 #[derive(Clone, Copy, Debug)]
 struct Denied {
     cost: f64,
     until: BootInstant,
-    come_back: BootInstant,
+    retry_at: BootInstant,
 }
 
-/// Where tokens came from, and go back to.
+/// The lender's account that tokens come from and are returned to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Source {
     pub(super) lender: SocketAddrV4,
     pub(super) account_id: u32,
 }
 
-/// A limit's account at this node.
+/// The state of a limit at this node.
 #[derive(Clone, Debug)]
-pub(super) struct Account {
+pub(super) struct BorrowerAccount {
     limit: VersionedLimit,
     balance: f64,
-    balance_until: BootInstant,
+    balance_expires: BootInstant,
     source: Option<Source>,
     denied: Option<Denied>,
-    waiting: VecDeque<Waiting>,
-    pub(super) ask: Option<OpenAsk>,
-    /// From when on tokens are asked for that a fallback lender did not have yet.
-    ask_from: BootInstant,
-    /// Amount a second that is asked for here, and when that was reckoned.
+    waiting: VecDeque<WaitingRequest>,
+    pub(super) in_flight: Option<InFlightRequest>,
+    /// When to request tokens again that a fallback lender did not have yet.
+    retry_from: BootInstant,
+    /// Average demand in tokens a second, and when it was last updated.
     rate: f64,
     rate_at: BootInstant,
     mean_cost: f64,
 }
 
-impl Account {
-    fn new(limit: VersionedLimit, now: BootInstant) -> Account {
-        Account {
+impl BorrowerAccount {
+    fn new(limit: VersionedLimit, now: BootInstant) -> BorrowerAccount {
+        BorrowerAccount {
             limit,
             balance: 0.0,
-            balance_until: now,
+            balance_expires: now,
             source: None,
             denied: None,
             waiting: VecDeque::new(),
-            ask: None,
-            ask_from: now,
+            in_flight: None,
+            retry_from: now,
             rate: 0.0,
             rate_at: now,
             mean_cost: 0.0,
         }
     }
 
-    fn note_demand(&mut self, cost: f64, now: BootInstant) {
-        let spans = now.since(self.rate_at).as_secs_f64() / RATE_SPAN.as_secs_f64();
-        self.rate = self.rate * (-spans).exp() + cost / RATE_SPAN.as_secs_f64();
+    fn record_demand(&mut self, cost: f64, now: BootInstant) {
+        let spans = now.since(self.rate_at).as_secs_f64() / RATE_AVERAGING_SPAN.as_secs_f64();
+        self.rate = self.rate * (-spans).exp() + cost / RATE_AVERAGING_SPAN.as_secs_f64();
         self.rate_at = now;
         self.mean_cost = match self.mean_cost > 0.0 {
-            true => self.mean_cost + NEWEST_WEIGHT * (cost - self.mean_cost),
+            true => self.mean_cost + COST_AVERAGE_WEIGHT * (cost - self.mean_cost),
             false => cost,
         };
     }
 
-    /// What is likely to be needed next, in whole requests.
-    fn ahead(&self) -> f64 {
-        let needed = self.rate * AHEAD.as_secs_f64();
+    /// Expected demand, rounded down to whole requests.
+    fn prefetch_amount(&self) -> f64 {
+        let needed = self.rate * PREFETCH_SPAN.as_secs_f64();
         if self.mean_cost <= 0.0 {
             return 0.0;
         }
         (needed / self.mean_cost).floor() * self.mean_cost
     }
 
-    /// Takes the cost of a request off what was lent, if it suffices.
-    fn take(&mut self, cost: f64, now: BootInstant) -> bool {
-        let suffices = now < self.balance_until && self.balance >= cost;
-        if suffices {
+    /// Spends the cost of a request if the borrowed tokens cover it.
+    fn try_spend(&mut self, cost: f64, now: BootInstant) -> bool {
+        let is_sufficient = now < self.balance_expires && self.balance >= cost;
+        if is_sufficient {
             self.balance -= cost;
         }
-        suffices
+        is_sufficient
     }
 
-    /// Grants the requests that what was lent suffices for, in their order.
-    fn serve_waiting(&mut self, now: BootInstant, settled: &mut Vec<Settled>) {
+    /// Grants the waiting requests in order, as far as the borrowed tokens cover them.
+    fn grant_waiting(&mut self, now: BootInstant, settled: &mut Vec<Settled>) {
         while let Some(first) = self.waiting.front().copied() {
-            if !self.take(first.cost, now) {
+            if !self.try_spend(first.cost, now) {
                 return;
             }
             self.waiting.pop_front();
@@ -144,53 +144,55 @@
         }
     }
 
-    /// The next question, if requests wait and none is open.
-    pub(super) fn next_ask(
+    /// The next token request; None if no request waits, a token request is in flight, or tokens
+    /// are not due yet.
+    pub(super) fn next_request(
         &self,
         key: QuotaKey,
         number: u64,
-        way: AskWay,
+        mode: RequestMode,
         now: BootInstant,
     ) -> Option<TokenRequest> {
-        if self.ask.is_some() || now < self.ask_from {
+        if self.in_flight.is_some() || now < self.retry_from {
             return None;
         }
         let first = self.waiting.front()?.cost;
-        let all: f64 = self.waiting.iter().map(|waiting| waiting.cost).sum();
-        let balance = if now < self.balance_until { self.balance } else { 0.0 };
+        let total: f64 = self.waiting.iter().map(|waiting| waiting.cost).sum();
+        let balance = if now < self.balance_expires { self.balance } else { 0.0 };
         Some(TokenRequest {
             number,
             key,
             limit: LimitParameters::from(self.limit),
             first_cost: (first - balance).max(0.0),
-            total_cost: (all - balance).max(0.0),
-            prefetch: self.ahead(),
-            is_failover: way.is_failover,
-            is_bootstrap: way.is_bootstrap,
+            total_cost: (total - balance).max(0.0),
+            prefetch: self.prefetch_amount(),
+            is_failover: mode.is_failover,
+            is_bootstrap: mode.is_bootstrap,
         })
     }
 
-    /// Takes tokens that were lent.
-    pub(super) fn take_lent(
+    /// Adds borrowed tokens and grants the requests that they cover. Tokens left from another
+    /// source, or expired ones, are dropped.
+    pub(super) fn credit(
         &mut self,
         tokens: f64,
         source: Source,
         now: BootInstant,
         settled: &mut Vec<Settled>,
     ) {
-        if now >= self.balance_until || self.source != Some(source) {
+        if now >= self.balance_expires || self.source != Some(source) {
             self.balance = 0.0;
         }
         self.balance += tokens;
-        self.balance_until = now + LENT_FOR;
+        self.balance_expires = now + LOAN_LIFETIME;
         self.source = Some(source);
         self.denied = None;
-        self.serve_waiting(now, settled);
+        self.grant_waiting(now, settled);
     }
 
-    /// Takes a refusal: for the first that waits, and those that cost as much. While the
-    /// limit is empty nobody need be asked.
-    pub(super) fn take_denied(
+    /// Refuses the first waiting request and all that cost at least as much. No token request is
+    /// needed for such requests while the limit is exhausted.
+    pub(super) fn apply_denial(
         &mut self,
         empty: Duration,
         after: Duration,
@@ -200,10 +202,10 @@
         let Some(first) = self.waiting.front().copied() else { return };
         self.denied = Some(Denied {
             cost: first.cost,
-            until: now + empty.min(DENIED_FOR),
-            come_back: now + after,
+            until: now + empty.min(MAX_DENIAL_AGE),
+            retry_at: now + after,
         });
-        let (denied, waiting): (VecDeque<Waiting>, VecDeque<Waiting>) =
+        let (denied, waiting): (VecDeque<WaitingRequest>, VecDeque<WaitingRequest>) =
             self.waiting.drain(..).partition(|waiting| waiting.cost >= first.cost);
         self.waiting = waiting;
         settled.extend(
@@ -214,36 +216,36 @@
         );
     }
 
-    /// Lets the requests wait until a fallback lender has tokens, if the first one has not
-    /// waited for too long by then. The time to find the lender does not count.
-    pub(super) fn wait_for_tokens(
+    /// Keeps the requests waiting until a fallback lender has tokens; false if the first one would
+    /// then have waited for too long. The time to find the lender does not count.
+    pub(super) fn defer_until_available(
         &mut self,
         after: Duration,
-        longest: Duration,
+        max_wait: Duration,
         now: BootInstant,
     ) -> bool {
         let Some(first) = self.waiting.front_mut() else { return false };
         let denied_since = *first.denied_since.get_or_insert(now);
-        let waits = now.since(denied_since) + after <= longest;
-        if waits {
-            self.ask_from = now + after;
+        let is_deferred = now.since(denied_since) + after <= max_wait;
+        if is_deferred {
+            self.retry_from = now + after;
         }
-        waits
+        is_deferred
     }
 
-    /// Time until a request has its turn that comes behind those which wait for tokens; none
-    /// if none do.
-    fn turn_after(&self, cost: f64, now: BootInstant) -> Option<Duration> {
-        if now >= self.ask_from || !self.has_waiting() {
+    /// Time until a new request would be granted behind those that wait for tokens; None if none
+    /// do.
+    fn queue_delay(&self, cost: f64, now: BootInstant) -> Option<Duration> {
+        if now >= self.retry_from || !self.has_waiting() {
             return None;
         }
         let ahead: f64 = self.waiting.iter().map(|waiting| waiting.cost).sum();
-        let comes_within = (ahead + cost) / self.limit.limit.per_second;
-        Some(Duration::try_from_secs_f64(comes_within).unwrap_or(Duration::MAX))
+        let seconds = (ahead + cost) / self.limit.limit.per_second;
+        Some(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
     }
 
-    /// Gives up on all that wait.
-    pub(super) fn give_up(&mut self, settled: &mut Vec<Settled>) {
+    /// Settles all waiting requests as undecided.
+    pub(super) fn fail_waiting(&mut self, settled: &mut Vec<Settled>) {
         settled.extend(
             self.waiting
                 .drain(..)
@@ -251,39 +253,39 @@
         );
     }
 
-    /// Tokens that are not needed and go back, with where they came from.
-    fn surplus(&mut self, now: BootInstant) -> Option<(Source, f64)> {
-        let keeps = if now < self.balance_until { self.ahead() } else { 0.0 };
-        let surplus = self.balance - keeps;
+    /// Removes the tokens that are not needed, and returns them with their source.
+    fn take_surplus(&mut self, now: BootInstant) -> Option<(Source, f64)> {
+        let retained = if now < self.balance_expires { self.prefetch_amount() } else { 0.0 };
+        let surplus = self.balance - retained;
         if surplus <= 0.0 {
             return None;
         }
-        self.balance = keeps;
+        self.balance = retained;
         self.source.map(|source| (source, surplus))
     }
 
-    /// Whether requests wait.
+    /// Whether any request waits.
     pub(super) fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 }
 
-/// What a node has been lent, by limit.
+/// The limits that a node borrows for.
 #[derive(Clone, Debug)]
 pub(super) struct Borrower {
-    pub(super) accounts: BTreeMap<QuotaKey, Account>,
+    pub(super) accounts: BTreeMap<QuotaKey, BorrowerAccount>,
     /// Longest wait of a request for tokens of a fallback lender.
     pub(super) max_fallback_wait: Duration,
     next_ticket: u64,
 }
 
 impl Borrower {
-    /// A node that has been lent nothing yet.
+    /// A node that has not borrowed anything yet.
     pub(super) fn new(max_fallback_wait: Duration) -> Borrower {
         Borrower { accounts: BTreeMap::new(), max_fallback_wait, next_ticket: 0 }
     }
 
-    /// Decides on a request by what is there; tells its ticket where it has to wait.
+    /// Decides on a request by what is known locally; pending if it has to wait for a lender.
     pub(super) fn request(
         &mut self,
         key: QuotaKey,
@@ -291,29 +293,29 @@
         cost: f64,
         now: BootInstant,
     ) -> Decision {
-        let account = self.accounts.entry(key).or_insert_with(|| Account::new(limit, now));
+        let account = self.accounts.entry(key).or_insert_with(|| BorrowerAccount::new(limit, now));
         if limit.version > account.limit.version {
             account.limit = limit;
         }
-        account.note_demand(cost, now);
-        if !account.has_waiting() && account.take(cost, now) {
+        account.record_demand(cost, now);
+        if !account.has_waiting() && account.try_spend(cost, now) {
             return Decision::Granted;
         }
         let denied = account.denied.filter(|denied| now < denied.until && cost >= denied.cost);
         if let Some(denied) = denied {
-            return Decision::Refused(denied.come_back.since(now));
+            return Decision::Refused(denied.retry_at.since(now));
         }
-        let turn_after = account.turn_after(cost, now);
-        if let Some(after) = turn_after.filter(|after| *after > self.max_fallback_wait) {
+        let queue_delay = account.queue_delay(cost, now);
+        if let Some(after) = queue_delay.filter(|after| *after > self.max_fallback_wait) {
             return Decision::Refused(after);
         }
         self.next_ticket += 1;
         let ticket = Ticket(self.next_ticket);
-        account.waiting.push_back(Waiting { ticket, cost, since: now, denied_since: None });
+        account.waiting.push_back(WaitingRequest { ticket, cost, since: now, denied_since: None });
         Decision::Pending(ticket)
     }
 
-    /// Takes the cost of a request back that has not run; tells what of it is not needed
+    /// Takes back the cost of a request that was not run. Returns the tokens that are not needed
     /// here.
     pub(super) fn refund(
         &mut self,
@@ -323,17 +325,17 @@
         settled: &mut Vec<Settled>,
     ) -> Option<(Source, f64)> {
         let account = self.accounts.get_mut(&key)?;
-        if now >= account.balance_until {
+        if now >= account.balance_expires {
             account.balance = 0.0;
-            account.balance_until = now + LENT_FOR;
+            account.balance_expires = now + LOAN_LIFETIME;
         }
         account.balance += cost;
-        account.serve_waiting(now, settled);
-        account.surplus(now)
+        account.grant_waiting(now, settled);
+        account.take_surplus(now)
     }
 
-    /// What was lent and not used in time, and goes back. Requests that have waited for too
-    /// long are given up.
+    /// Returns the tokens that expired unused, and settles requests that have waited for too long
+    /// as undecided.
     pub(super) fn tick(
         &mut self,
         now: BootInstant,
@@ -341,13 +343,13 @@
     ) -> Vec<(QuotaKey, Source, f64)> {
         let mut returned = Vec::new();
         for (key, account) in &mut self.accounts {
-            if now >= account.balance_until
-                && let Some((source, tokens)) = account.surplus(now)
+            if now >= account.balance_expires
+                && let Some((source, tokens)) = account.take_surplus(now)
             {
                 returned.push((*key, source, tokens));
             }
             while let Some(first) = account.waiting.front().copied()
-                && now.since(first.since) >= LONGEST_WAIT
+                && now.since(first.since) >= MAX_REQUEST_WAIT
             {
                 account.waiting.pop_front();
                 settled.push(Settled { ticket: first.ticket, decision: Decision::Undecided });
@@ -356,18 +358,19 @@
         returned
     }
 
-    /// Forgets what was lent: this node has slept.
-    pub(super) fn forget_all(&mut self, now: BootInstant, settled: &mut Vec<Settled>) {
+    /// Drops all borrowed tokens and settles the waiting requests as undecided, after this node
+    /// was suspended.
+    pub(super) fn discard_all(&mut self, now: BootInstant, settled: &mut Vec<Settled>) {
         for account in self.accounts.values_mut() {
-            account.give_up(settled);
+            account.fail_waiting(settled);
             account.balance = 0.0;
-            account.ask = None;
-            account.ask_from = now;
+            account.in_flight = None;
+            account.retry_from = now;
         }
     }
 
     /// Whether any request waits.
     pub(super) fn has_waiting(&self) -> bool {
-        self.accounts.values().any(Account::has_waiting)
+        self.accounts.values().any(BorrowerAccount::has_waiting)
     }
 }
--- a/crates/cometmoor-core/src/gateway/quota/lending/lender.rs
+++ b/crates/cometmoor-core/src/gateway/quota/lending/lender.rs
@@ -1,51 +1,51 @@
-//! The books of the limits for which a node lends.
+//! The accounts of the limits for which a node lends.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-use super::askers::Askers;
-use super::book::{Asker, Book, most_leeway, start};
+use super::account_state::{AccountState, LenderRole, PeerQuery, PendingQuery};
+use super::lender_account::{LenderAccount, Requester, initial_tokens, max_leeway};
 use super::message::{LendingMessage, TokenRequest, TokenResponse};
-use super::reach::Reach;
-use super::standing::{Awaited, Question, Role, Standing};
-use super::turns::Turns;
+use super::reachability::Reachability;
+use super::requesters::RecentRequesters;
+use super::wait_queue::WaitQueue;
 use crate::gateway::quota::bucket::TokenBucket;
 use crate::gateway::quota::fleet_view::FleetView;
 use crate::gateway::quota::{QuotaBounds, QuotaKey};
 use crate::time::BootInstant;
 
-/// Time for which a node that has not answered a probe is passed over.
-const SILENT_FOR: Duration = Duration::from_secs(2);
-/// Longest wait for what is left in the book of another node, or for its answer to a probe.
-const LONGEST_WAIT: Duration = Duration::from_millis(90);
-/// Time after which those that have not answered are asked once more.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(35);
-/// Time for which a seed's word counts that the fleet runs.
-const RUNS_FOR: Duration = Duration::from_secs(2);
-/// Time after which a book that nobody asked for is closed.
-const IDLE_FOR: Duration = Duration::from_secs(30);
-/// Time for which a node that has handed a book over says so.
-const HANDED_FOR: Duration = Duration::from_secs(4);
-/// An answer to a node's question.
+/// Time for which a node that has not responded to a probe is skipped.
+const UNRESPONSIVE_SKIP: Duration = Duration::from_secs(2);
+/// Longest wait for another node's handover or its response to a probe.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(90);
+/// Time without a response after which a query is sent once more.
+const QUERY_RESEND_AFTER: Duration = Duration::from_millis(35);
+/// Time for which a seed's report that the fleet is running is valid.
+const RUNNING_SEED_LIFETIME: Duration = Duration::from_secs(2);
+/// Time without requests after which an account is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time for which a node redirects requests after it has handed an account over.
+const HANDOVER_MEMORY: Duration = Duration::from_secs(4);
+/// A response to a node's token request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Answer {
+pub(super) struct OutgoingResponse {
     pub(super) to: SocketAddrV4,
     pub(super) key: QuotaKey,
     pub(super) number: u64,
     pub(super) response: TokenResponse,
 }
 
-/// What follows from what a lender took.
+/// Responses and messages to send after an event.
 #[derive(Debug, Default)]
 pub(super) struct LenderEffects {
-    pub(super) answers: Vec<Answer>,
+    pub(super) responses: Vec<OutgoingResponse>,
     pub(super) messages: Vec<(SocketAddrV4, LendingMessage)>,
 }
 
-/// How another node stands that was probed.
+/// Status that a probed node reports.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct PeerStanding {
+pub(super) struct PeerStatus {
     pub(super) node: SocketAddrV4,
     pub(super) is_lending: bool,
     pub(super) is_stable: bool,
@@ -55,444 +55,474 @@
 #[derive(Clone, Debug)]
 pub(super) struct Lender {
     bounds: QuotaBounds,
-    books: BTreeMap<QuotaKey, Book>,
-    handed: HashMap<QuotaKey, (SocketAddrV4, BootInstant)>,
-    /// A seed that has said that the fleet runs, and when.
+    accounts: BTreeMap<QuotaKey, LenderAccount>,
+    handed_over: HashMap<QuotaKey, (SocketAddrV4, BootInstant)>,
+    /// A seed that has reported that the fleet is running, and when.
     running_seed: Option<(SocketAddrV4, BootInstant)>,
-    reach: Reach,
-    next_book: u32,
+    reachability: Reachability,
+    next_account_id: u32,
 }
 
-/// Asks nodes something; the book waits for their answers.
-fn awaits(
-    what: Question,
+/// Sends a query to nodes, and returns the state that awaits their responses.
+fn query_peers(
+    query: PeerQuery,
     from: Vec<SocketAddrV4>,
     key: QuotaKey,
     now: BootInstant,
     effects: &mut LenderEffects,
-) -> Standing {
-    let message = what.message(key);
+) -> AccountState {
+    let message = query.message(key);
     effects.messages.extend(from.iter().map(|node| (*node, message)));
-    Standing::Awaits(Awaited { what, from, began: now, is_asked_again: false })
+    AccountState::Awaiting(PendingQuery { query, unanswered: from, sent_at: now, is_resent: false })
 }
 
 impl Lender {
-    /// A node that lends nothing yet. Books are numbered from a number that is drawn for
-    /// each process, so that tokens are not given back to the book of another one.
-    pub(super) fn new(bounds: QuotaBounds, first_book: u32) -> Lender {
+    /// A lender without accounts. Account numbers start at a random number for each process, so
+    /// that tokens are not returned to an account of an earlier process.
+    pub(super) fn new(bounds: QuotaBounds, first_account_id: u32) -> Lender {
         Lender {
             bounds,
-            books: BTreeMap::new(),
-            handed: HashMap::new(),
+            accounts: BTreeMap::new(),
+            handed_over: HashMap::new(),
             running_seed: None,
-            reach: Reach::default(),
-            next_book: first_book,
+            reachability: Reachability::default(),
+            next_account_id: first_account_id,
         }
     }
 
-    /// Closes all books: their use by others is not known any more.
+    /// Closes all accounts, because their use by other nodes is no longer known.
     pub(super) fn close_all(&mut self) {
-        self.books.clear();
-        self.handed.clear();
+        self.accounts.clear();
+        self.handed_over.clear();
     }
 
-    /// Takes a question.
-    pub(super) fn take_ask(
+    /// Handles a token request.
+    pub(super) fn receive_request(
         &mut self,
         from: SocketAddrV4,
-        ask: TokenRequest,
-        ranks: &mut FleetView,
+        request: TokenRequest,
+        fleet: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
-        let key = ask.key;
-        let answer = |response| Answer { to: from, key, number: ask.number, response };
-        if self.books.contains_key(&key) {
-            return self.ask_book(from, ask, ranks, now, effects);
+        let key = request.key;
+        let respond =
+            |response| OutgoingResponse { to: from, key, number: request.number, response };
+        if self.accounts.contains_key(&key) {
+            return self.serve_from_account(from, request, fleet, now, effects);
         }
-        if let Some((to, at)) = self.handed.get(&key)
-            && now.since(*at) < HANDED_FOR
-            && !ask.is_failover
+        if let Some((to, at)) = self.handed_over.get(&key)
+            && now.since(*at) < HANDOVER_MEMORY
+            && !request.is_failover
         {
-            effects.answers.push(answer(TokenResponse::Redirect(*to)));
+            effects.responses.push(respond(TokenResponse::Redirect(*to)));
             return;
         }
-        if !ranks.is_stable(now) {
-            if ask.is_bootstrap && ranks.is_seed() {
-                return self.start_as_seed(from, ask, ranks, now, effects);
+        if !fleet.is_stable(now) {
+            if request.is_bootstrap && fleet.is_seed() {
+                return self.bootstrap_as_seed(from, request, fleet, now, effects);
             }
-            effects.answers.push(answer(TokenResponse::NotReady));
+            effects.responses.push(respond(TokenResponse::NotReady));
             return;
         }
-        match ranks.first_lender(key) {
-            None => effects.answers.push(answer(TokenResponse::NotReady)),
-            Some(first) if first == ranks.own() => {
-                let standing = self.begin(key, ranks, now, effects);
-                self.open(ask, standing, ranks, now);
-                self.ask_book(from, ask, ranks, now, effects);
-                self.conclude_if_alone(key, ranks, now, effects);
+        match fleet.first_lender(key) {
+            None => effects.responses.push(respond(TokenResponse::NotReady)),
+            Some(first) if first == fleet.own() => {
+                let state = self.initial_state(key, fleet, now, effects);
+                self.open_account(request, state, fleet, now);
+                self.serve_from_account(from, request, fleet, now, effects);
+                self.conclude_if_unqueried(key, fleet, now, effects);
             }
-            Some(_) if ask.is_failover => {
-                let ahead = ranks.lenders_above_own(key);
-                let standing = awaits(Question::OneAheadLends, ahead.clone(), key, now, effects);
-                self.probe_others(key, &ahead, ranks, now, effects);
-                self.open(ask, standing, ranks, now);
-                self.ask_book(from, ask, ranks, now, effects);
+            Some(_) if request.is_failover => {
+                let ahead = fleet.lenders_above_own(key);
+                let state =
+                    query_peers(PeerQuery::HigherRankedLends, ahead.clone(), key, now, effects);
+                self.probe_others(key, &ahead, fleet, now, effects);
+                self.open_account(request, state, fleet, now);
+                self.serve_from_account(from, request, fleet, now, effects);
             }
-            Some(first) => effects.answers.push(answer(TokenResponse::Redirect(first))),
+            Some(first) => effects.responses.push(respond(TokenResponse::Redirect(first))),
         }
     }
 
-    /// Finds out how many of the other nodes this one reaches, but for those that are silent.
+    /// Probes a sample of the other nodes, except unresponsive ones, to estimate how many are
+    /// reachable.
     fn probe_others(
         &mut self,
         key: QuotaKey,
-        silent: &[SocketAddrV4],
-        ranks: &FleetView,
+        unresponsive: &[SocketAddrV4],
+        fleet: &FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
-        if !self.reach.is_sample_due(now) {
+        if !self.reachability.is_sample_due(now) {
             return;
         }
-        let others: Vec<SocketAddrV4> = ranks
+        let others: Vec<SocketAddrV4> = fleet
             .others()
-            .filter(|node| !silent.contains(node) && !ranks.is_skipped(*node, now))
+            .filter(|node| !unresponsive.contains(node) && !fleet.is_skipped(*node, now))
             .collect();
-        let probed = self.reach.probe(&others, now);
+        let probed = self.reachability.start_sample(&others, now);
         effects
             .messages
             .extend(probed.into_iter().map(|node| (node, LendingMessage::Probe { key })));
     }
 
-    /// Probes again whom this node has not heard of the last sample.
-    fn probe_again(&mut self, now: BootInstant, effects: &mut LenderEffects) {
-        let Some(key) = self.books.keys().next().copied() else { return };
-        let silent = self.reach.probe_again(now);
+    /// Sends probes again to the nodes of the last sample that have not responded.
+    fn resend_probes(&mut self, now: BootInstant, effects: &mut LenderEffects) {
+        let Some(key) = self.accounts.keys().next().copied() else { return };
+        let unresponsive = self.reachability.probes_to_resend(now);
         effects
             .messages
-            .extend(silent.into_iter().map(|node| (node, LendingMessage::Probe { key })));
+            .extend(unresponsive.into_iter().map(|node| (node, LendingMessage::Probe { key })));
     }
 
-    /// Opens a book at a seed that knows too little of the others, unless another seed knows
-    /// more: then only this one starts, and not the fleet.
-    fn start_as_seed(
+    /// Opens an account at a seed without a stable view, unless another seed has one: then only
+    /// this node is starting, not the fleet.
+    fn bootstrap_as_seed(
         &mut self,
         from: SocketAddrV4,
-        ask: TokenRequest,
-        ranks: &mut FleetView,
+        request: TokenRequest,
+        fleet: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
-        let (key, number) = (ask.key, ask.number);
+        let (key, number) = (request.key, request.number);
         if let Some((seed, at)) = self.running_seed
-            && now.since(at) < RUNS_FOR
+            && now.since(at) < RUNNING_SEED_LIFETIME
         {
             let response = TokenResponse::Redirect(seed);
-            return effects.answers.push(Answer { to: from, key, number, response });
+            return effects.responses.push(OutgoingResponse { to: from, key, number, response });
         }
-        let seeds: Vec<SocketAddrV4> = ranks.other_seeds().collect();
-        let standing = match seeds.is_empty() {
-            true => Standing::Lends(Role::Start),
-            false => awaits(Question::SeedKnows, seeds, key, now, effects),
+        let seeds: Vec<SocketAddrV4> = fleet.other_seeds().collect();
+        let state = match seeds.is_empty() {
+            true => AccountState::Lending(LenderRole::Bootstrap),
+            false => query_peers(PeerQuery::SeedInformed, seeds, key, now, effects),
         };
-        self.open(ask, standing, ranks, now);
-        self.ask_book(from, ask, ranks, now, effects);
+        self.open_account(request, state, fleet, now);
+        self.serve_from_account(from, request, fleet, now, effects);
     }
 
-    /// How a new book stands at a node that comes first: where another one may have lent in
-    /// the last window, what is left there is asked for.
-    fn begin(
+    /// State of a new account at the first-ranked node. If another node may have lent within the
+    /// last window, that node is asked what remains in its account.
+    fn initial_state(
         &self,
         key: QuotaKey,
-        ranks: &mut FleetView,
+        fleet: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
-    ) -> Standing {
-        let gone = ranks.departed_lender_above_own(key, now);
-        if gone.is_none() && ranks.time_since_start(now) >= self.bounds.window {
-            return Standing::Lends(Role::First);
+    ) -> AccountState {
+        let departed = fleet.departed_lender_above_own(key, now);
+        if departed.is_none() && fleet.time_since_start(now) >= self.bounds.window {
+            return AccountState::Lending(LenderRole::Primary);
         }
-        let second = ranks.lenders(key).get(1).copied();
-        let is_young = ranks.time_since_start(now) < self.bounds.window;
-        let seeds = ranks.other_seeds().filter(|_| is_young);
-        let mut from: Vec<SocketAddrV4> = gone.into_iter().chain(second).chain(seeds).collect();
+        let second = fleet.lenders(key).get(1).copied();
+        let is_young = fleet.time_since_start(now) < self.bounds.window;
+        let seeds = fleet.other_seeds().filter(|_| is_young);
+        let mut from: Vec<SocketAddrV4> = departed.into_iter().chain(second).chain(seeds).collect();
         from.sort_unstable();
         from.dedup();
-        awaits(Question::Left(None), from, key, now, effects)
+        query_peers(PeerQuery::Handover(None), from, key, now, effects)
     }
 
-    /// Opens a book. It is full only where nobody can have lent in the last window.
-    fn open(&mut self, ask: TokenRequest, standing: Standing, ranks: &FleetView, now: BootInstant) {
-        let is_full = standing == Standing::Lends(Role::First);
-        let share = ranks.live_share(now);
-        let most = ask.limit.burst * share;
-        let level = if is_full { most } else { 0.0 };
-        let leeway = if is_full { most_leeway(&self.bounds, &ask.limit) * share } else { 0.0 };
-        self.next_book = self.next_book.wrapping_add(1);
-        let book = Book {
-            number: self.next_book,
-            standing,
-            limit: ask.limit,
-            bucket: TokenBucket::new(level, most, ask.limit.per_second, now),
+    /// Opens an account. Its bucket is full only if no node can have lent within the last window.
+    fn open_account(
+        &mut self,
+        request: TokenRequest,
+        state: AccountState,
+        fleet: &FleetView,
+        now: BootInstant,
+    ) {
+        let is_full = state == AccountState::Lending(LenderRole::Primary);
+        let share = fleet.live_share(now);
+        let capacity = request.limit.burst * share;
+        let level = if is_full { capacity } else { 0.0 };
+        let leeway = if is_full { max_leeway(&self.bounds, &request.limit) * share } else { 0.0 };
+        self.next_account_id = self.next_account_id.wrapping_add(1);
+        let account = LenderAccount {
+            id: self.next_account_id,
+            state,
+            limit: request.limit,
+            bucket: TokenBucket::new(level, capacity, request.limit.per_second, now),
             leeway: TokenBucket::new(leeway, leeway, 0.0, now),
-            started_with: 0.0,
-            nodes: HashMap::new(),
-            askers: Askers::default(),
-            held: Vec::new(),
-            asked: now,
-            promised: now,
-            turns: Turns::default(),
+            initial_granted: 0.0,
+            by_node: HashMap::new(),
+            requesters: RecentRequesters::default(),
+            held_requests: Vec::new(),
+            last_requested: now,
+            reserved_until: now,
+            wait_queue: WaitQueue::default(),
         };
-        self.books.insert(ask.key, book);
+        self.accounts.insert(request.key, account);
     }
 
-    /// Answers a question from a book, or holds it until the book lends.
-    fn ask_book(
+    /// Answers a request from an account, or holds it until the account lends.
+    fn serve_from_account(
         &mut self,
         from: SocketAddrV4,
-        ask: TokenRequest,
-        ranks: &mut FleetView,
+        request: TokenRequest,
+        fleet: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
         let bounds = self.bounds;
-        let Some(book) = self.books.get_mut(&ask.key) else { return };
-        book.asked = now;
-        let fresh = Asker { answered: None, returned: 0 };
-        let asker = book.nodes.entry(from).or_insert(fresh);
-        let again = asker.answered.filter(|(number, _)| *number == ask.number);
+        let Some(account) = self.accounts.get_mut(&request.key) else { return };
+        account.last_requested = now;
+        let fresh = Requester { last_response: None, last_return: 0 };
+        let requester = account.by_node.entry(from).or_insert(fresh);
+        let again = requester.last_response.filter(|(number, _)| *number == request.number);
         if let Some((number, response)) = again {
-            effects.answers.push(Answer { to: from, key: ask.key, number, response });
+            effects.responses.push(OutgoingResponse {
+                to: from,
+                key: request.key,
+                number,
+                response,
+            });
             return;
         }
-        // Repeated questions count once, or the fleet would look smaller than it is.
+        // Retries count once; otherwise the fleet would look smaller than it is.
         let was_denied =
-            matches!(asker.answered, Some((_, TokenResponse::DeniedProvisionally { .. })));
-        let is_held = book.held.iter().any(|(_, held)| held.number == ask.number);
+            matches!(requester.last_response, Some((_, TokenResponse::DeniedProvisionally { .. })));
+        let is_held = account.held_requests.iter().any(|(_, held)| held.number == request.number);
         if !was_denied && !is_held {
-            book.askers.note(from, now);
+            account.requesters.record(from, now);
         }
-        let Standing::Lends(role) = book.standing else {
-            book.held.retain(|(holder, _)| *holder != from);
-            book.held.push((from, ask));
+        let AccountState::Lending(role) = account.state else {
+            account.held_requests.retain(|(holder, _)| *holder != from);
+            account.held_requests.push((from, request));
             return;
         };
-        if ask.limit.version > book.limit.version {
-            book.limit = ask.limit;
+        if request.limit.version > account.limit.version {
+            account.limit = request.limit;
         }
-        let first = ranks.first_lender(ask.key).filter(|_| ranks.is_stable(now));
-        let is_first = first == Some(ranks.own());
-        if is_first && role == Role::Fallback {
-            book.begin_anew(&bounds, ranks.live_share(now));
+        let first = fleet.first_lender(request.key).filter(|_| fleet.is_stable(now));
+        let is_first = first == Some(fleet.own());
+        if is_first && role == LenderRole::Fallback {
+            account.promote_to_primary(&bounds, fleet.live_share(now));
         }
-        let role = if is_first { Role::First } else { role };
-        book.standing = Standing::Lends(role);
+        let role = if is_first { LenderRole::Primary } else { role };
+        account.state = AccountState::Lending(role);
         let response = match first {
-            // The fleet has started; the first one asks for what is left here.
-            Some(first) if role == Role::Start => TokenResponse::Redirect(first),
+            // The fleet has started; the first-ranked node will ask for what remains here.
+            Some(first) if role == LenderRole::Bootstrap => TokenResponse::Redirect(first),
             _ => {
-                book.set_rate(role, ask.first_cost, self.reach.reached(now), &bounds, ranks, now);
+                account.update_rate(
+                    role,
+                    request.first_cost,
+                    self.reachability.reached(now),
+                    &bounds,
+                    fleet,
+                    now,
+                );
                 match role {
-                    Role::First => book.lend(&ask, now),
-                    Role::Fallback | Role::Start => {
-                        book.lend_in_turn(from, &ask, bounds.max_fallback_wait, now)
+                    LenderRole::Primary => account.lend(&request, now),
+                    LenderRole::Fallback | LenderRole::Bootstrap => {
+                        account.lend_in_order(from, &request, bounds.max_fallback_wait, now)
                     }
                 }
             }
         };
-        if let Some(asker) = book.nodes.get_mut(&from) {
-            asker.answered = Some((ask.number, response));
+        if let Some(requester) = account.by_node.get_mut(&from) {
+            requester.last_response = Some((request.number, response));
         }
-        effects.answers.push(Answer { to: from, key: ask.key, number: ask.number, response });
+        effects.responses.push(OutgoingResponse {
+            to: from,
+            key: request.key,
+            number: request.number,
+            response,
+        });
     }
 
-    /// Takes tokens back.
-    pub(super) fn take_return(
+    /// Takes back tokens that a borrower returns.
+    pub(super) fn receive_return(
         &mut self,
         from: SocketAddrV4,
         key: QuotaKey,
         number: u64,
-        book_number: u32,
+        account_id: u32,
         tokens: f64,
     ) {
-        let Some(book) = self.books.get_mut(&key) else { return };
-        let Some(asker) = book.nodes.get_mut(&from) else { return };
-        // A datagram may come twice, or from before this book was opened.
-        if book.number == book_number && number > asker.returned {
-            asker.returned = number;
-            book.bucket.refund(tokens);
+        let Some(account) = self.accounts.get_mut(&key) else { return };
+        let Some(requester) = account.by_node.get_mut(&from) else { return };
+        // A datagram may be duplicated, or refer to an earlier account.
+        if account.id == account_id && number > requester.last_return {
+            requester.last_return = number;
+            account.bucket.refund(tokens);
         }
     }
 
-    /// Hands a book over to a node that takes its place; tells what is left.
+    /// Hands an account over to the node that takes its place, and returns what remains in it.
     pub(super) fn hand_over(
         &mut self,
         to: SocketAddrV4,
         key: QuotaKey,
         now: BootInstant,
     ) -> Option<f64> {
-        let lends = |book: &Book| matches!(book.standing, Standing::Lends(_));
-        if !self.books.get(&key).is_some_and(lends) {
+        let is_lending =
+            |account: &LenderAccount| matches!(account.state, AccountState::Lending(_));
+        if !self.accounts.get(&key).is_some_and(is_lending) {
             return None;
         }
-        let mut book = self.books.remove(&key)?;
-        self.handed.insert(key, (to, now));
-        let level = book.bucket.level(now);
-        // What others have lent beside this one is not in its book.
-        let is_first = book.standing == Standing::Lends(Role::First);
-        Some(if is_first { level } else { level.min(start(&self.bounds, &book.limit)) })
+        let mut account = self.accounts.remove(&key)?;
+        self.handed_over.insert(key, (to, now));
+        let level = account.bucket.level(now);
+        // This account does not know what other lenders have lent in parallel.
+        let is_first = account.state == AccountState::Lending(LenderRole::Primary);
+        Some(if is_first { level } else { level.min(initial_tokens(&self.bounds, &account.limit)) })
     }
 
-    /// Takes what is left in another node's book.
-    pub(super) fn take_left(
+    /// Handles a report of what remains in another node's account.
+    pub(super) fn receive_handover(
         &mut self,
         node: SocketAddrV4,
         key: QuotaKey,
         level: Option<f64>,
-        ranks: &mut FleetView,
+        fleet: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
-        let Some(book) = self.books.get_mut(&key) else { return };
-        let Standing::Awaits(awaited) = &mut book.standing else { return };
-        let Question::Left(least) = &mut awaited.what else { return };
+        let Some(account) = self.accounts.get_mut(&key) else { return };
+        let AccountState::Awaiting(pending) = &mut account.state else { return };
+        let PeerQuery::Handover(least) = &mut pending.query else { return };
         *least = match (*least, level) {
             (Some(known), Some(level)) => Some(known.min(level)),
             (known, level) => known.or(level),
         };
-        awaited.from.retain(|asked| *asked != node);
-        if awaited.from.is_empty() {
-            self.conclude(key, ranks, now, effects);
+        pending.unanswered.retain(|queried| *queried != node);
+        if pending.unanswered.is_empty() {
+            self.conclude(key, fleet, now, effects);
         }
     }
 
-    /// Takes the answer of a node that was probed: whoever asked is sent there if it lends,
-    /// or knows who does. A first one that has begun anew does not; this node lends until it
-    /// is asked to hand over.
-    pub(super) fn take_probe_answer(
+    /// Handles the response to a probe: held requests are redirected to the node if it lends, or is
+    /// a seed with a stable view. A first-ranked node that has restarted does not lend; this node
+    /// lends until it is asked to hand over.
+    pub(super) fn receive_probe_response(
         &mut self,
-        peer: PeerStanding,
+        peer: PeerStatus,
         key: QuotaKey,
-        ranks: &mut FleetView,
+        fleet: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
         let node = peer.node;
-        self.reach.note_answer(node);
-        let Some(book) = self.books.get_mut(&key) else { return };
-        let Standing::Awaits(awaited) = &mut book.standing else { return };
-        let knows_more = match awaited.what {
-            Question::OneAheadLends => peer.is_lending && awaited.from.contains(&node),
-            Question::SeedKnows => peer.is_stable,
-            Question::Left(_) => return,
+        self.reachability.note_response(node);
+        let Some(account) = self.accounts.get_mut(&key) else { return };
+        let AccountState::Awaiting(pending) = &mut account.state else { return };
+        let should_redirect = match pending.query {
+            PeerQuery::HigherRankedLends => peer.is_lending && pending.unanswered.contains(&node),
+            PeerQuery::SeedInformed => peer.is_stable,
+            PeerQuery::Handover(_) => return,
         };
-        awaited.from.retain(|asked| *asked != node);
-        if !knows_more && !awaited.from.is_empty() {
+        pending.unanswered.retain(|queried| *queried != node);
+        if !should_redirect && !pending.unanswered.is_empty() {
             return;
         }
-        if !knows_more {
-            return self.conclude(key, ranks, now, effects);
+        if !should_redirect {
+            return self.conclude(key, fleet, now, effects);
         }
-        if awaited.what == Question::SeedKnows {
+        if pending.query == PeerQuery::SeedInformed {
             self.running_seed = Some((node, now));
         }
-        let Some(book) = self.books.remove(&key) else { return };
-        for (to, ask) in book.held {
+        let Some(account) = self.accounts.remove(&key) else { return };
+        for (to, request) in account.held_requests {
             let response = TokenResponse::Redirect(node);
-            effects.answers.push(Answer { to, key, number: ask.number, response });
+            effects.responses.push(OutgoingResponse { to, key, number: request.number, response });
         }
     }
 
-    /// Whether this node lends for a limit, or would by its rank.
-    pub(super) fn lends(&self, key: QuotaKey, ranks: &mut FleetView, now: BootInstant) -> bool {
-        let is_first = ranks.first_lender(key) == Some(ranks.own());
-        self.books.contains_key(&key) || (is_first && ranks.is_stable(now))
+    /// Whether this node lends for a limit, or would because it ranks first.
+    pub(super) fn is_lender(&self, key: QuotaKey, fleet: &mut FleetView, now: BootInstant) -> bool {
+        let is_first = fleet.first_lender(key) == Some(fleet.own());
+        self.accounts.contains_key(&key) || (is_first && fleet.is_stable(now))
     }
 
-    /// Lets a book lend that waits for nobody.
-    fn conclude_if_alone(
+    /// Starts lending from an account that has no node to query.
+    fn conclude_if_unqueried(
         &mut self,
         key: QuotaKey,
-        ranks: &mut FleetView,
+        fleet: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
-        let is_alone = self.books.get(&key).is_some_and(
-            |book| matches!(&book.standing, Standing::Awaits(awaited) if awaited.from.is_empty()),
-        );
-        if is_alone {
-            self.conclude(key, ranks, now, effects);
+        let is_unqueried = self.accounts.get(&key).is_some_and(|account| {
+            matches!(&account.state, AccountState::Awaiting(pending)
+                if pending.unanswered.is_empty())
+        });
+        if is_unqueried {
+            self.conclude(key, fleet, now, effects);
         }
     }
 
-    /// Lets a book lend that has waited for other nodes.
+    /// Starts lending from an account after its query, and answers the held requests.
     fn conclude(
         &mut self,
         key: QuotaKey,
-        ranks: &mut FleetView,
+        fleet: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
         let bounds = self.bounds;
-        let Some(book) = self.books.get_mut(&key) else { return };
-        let start = start(&bounds, &book.limit) * ranks.live_share(now);
-        let Standing::Awaits(awaited) = &book.standing else { return };
-        let (role, level) = match awaited.what {
-            Question::Left(least) => (Role::First, least.unwrap_or(start)),
-            Question::OneAheadLends => (Role::Fallback, 0.0),
-            Question::SeedKnows => (Role::Start, 0.0),
+        let Some(account) = self.accounts.get_mut(&key) else { return };
+        let initial = initial_tokens(&bounds, &account.limit) * fleet.live_share(now);
+        let AccountState::Awaiting(pending) = &account.state else { return };
+        let (role, level) = match pending.query {
+            PeerQuery::Handover(least) => (LenderRole::Primary, least.unwrap_or(initial)),
+            PeerQuery::HigherRankedLends => (LenderRole::Fallback, 0.0),
+            PeerQuery::SeedInformed => (LenderRole::Bootstrap, 0.0),
         };
-        book.standing = Standing::Lends(role);
-        let (most, rate) = (book.bucket.capacity(), book.limit.per_second);
-        book.bucket = TokenBucket::new(level, most, rate, now);
-        for (from, ask) in std::mem::take(&mut book.held) {
-            self.ask_book(from, ask, ranks, now, effects);
+        account.state = AccountState::Lending(role);
+        let (capacity, rate) = (account.bucket.capacity(), account.limit.per_second);
+        account.bucket = TokenBucket::new(level, capacity, rate, now);
+        for (from, request) in std::mem::take(&mut account.held_requests) {
+            self.serve_from_account(from, request, fleet, now, effects);
         }
     }
 
-    /// Lets time pass.
+    /// Handles timeouts of accounts, queries and probes.
     pub(super) fn tick(
         &mut self,
-        ranks: &mut FleetView,
+        fleet: &mut FleetView,
         now: BootInstant,
         effects: &mut LenderEffects,
     ) {
-        self.books.retain(|_, book| now.since(book.asked) < IDLE_FOR);
-        self.handed.retain(|_, (_, at)| now.since(*at) < HANDED_FOR);
-        let is_fallback = |book: &Book| book.standing == Standing::Lends(Role::Fallback);
-        let fallback = self.books.iter().find(|(_, book)| is_fallback(book));
+        self.accounts.retain(|_, account| now.since(account.last_requested) < IDLE_TIMEOUT);
+        self.handed_over.retain(|_, (_, at)| now.since(*at) < HANDOVER_MEMORY);
+        let is_fallback =
+            |account: &LenderAccount| account.state == AccountState::Lending(LenderRole::Fallback);
+        let fallback = self.accounts.iter().find(|(_, account)| is_fallback(account));
         if let Some(key) = fallback.map(|(key, _)| *key) {
-            self.probe_others(key, &[], ranks, now, effects);
+            self.probe_others(key, &[], fleet, now, effects);
         }
-        self.probe_again(now, effects);
+        self.resend_probes(now, effects);
         let mut overdue = Vec::new();
-        for (key, book) in &mut self.books {
-            let Standing::Awaits(awaited) = &mut book.standing else { continue };
-            let waited = now.since(awaited.began);
-            if waited >= LONGEST_WAIT {
-                overdue.push((*key, awaited.what, awaited.from.clone()));
-            } else if waited >= ASK_AGAIN_AFTER && !awaited.is_asked_again {
-                awaited.is_asked_again = true;
-                let message = awaited.what.message(*key);
-                effects.messages.extend(awaited.from.iter().map(|node| (*node, message)));
+        for (key, account) in &mut self.accounts {
+            let AccountState::Awaiting(pending) = &mut account.state else { continue };
+            let waited = now.since(pending.sent_at);
+            if waited >= QUERY_TIMEOUT {
+                overdue.push((*key, pending.query, pending.unanswered.clone()));
+            } else if waited >= QUERY_RESEND_AFTER && !pending.is_resent {
+                pending.is_resent = true;
+                let message = pending.query.message(*key);
+                effects.messages.extend(pending.unanswered.iter().map(|node| (*node, message)));
             }
         }
-        for (key, what, silent) in overdue {
-            if what == Question::OneAheadLends {
-                silent.iter().for_each(|node| ranks.skip_for(*node, SILENT_FOR, now));
+        for (key, query, unresponsive) in overdue {
+            if query == PeerQuery::HigherRankedLends {
+                unresponsive.iter().for_each(|node| fleet.skip_for(*node, UNRESPONSIVE_SKIP, now));
             }
-            self.conclude(key, ranks, now, effects);
+            self.conclude(key, fleet, now, effects);
         }
     }
 
-    /// Whether questions are held, or answers of other nodes awaited.
-    pub(super) fn waits(&self, now: BootInstant) -> bool {
-        self.reach.awaits_answers(now) || self.books.values().any(|book| !book.held.is_empty())
+    /// Whether requests are held or responses of other nodes are awaited.
+    pub(super) fn is_waiting(&self, now: BootInstant) -> bool {
+        self.reachability.awaits_responses(now)
+            || self.accounts.values().any(|account| !account.held_requests.is_empty())
     }
 
     /// Number of limits for which this node lends.
-    pub(super) fn len(&self) -> usize {
-        self.books.len()
+    pub(super) fn account_count(&self) -> usize {
+        self.accounts.len()
     }
 }
--- a/crates/cometmoor-core/src/gateway/quota/lending/message.rs
+++ b/crates/cometmoor-core/src/gateway/quota/lending/message.rs
@@ -1,4 +1,4 @@
-//! What nodes tell one another that lend allowances.
+//! Messages between borrowers and lenders.
 
 use std::net::SocketAddrV4;
 
@@ -6,14 +6,14 @@
 
 use crate::gateway::quota::{QuotaKey, VersionedLimit};
 
-/// A limit as the node that asks knows it.
+/// A limit as the borrower knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitParameters {
-    /// Amount a second.
+    /// Rate in units a second.
     pub per_second: f64,
-    /// Amount on top, at once.
+    /// Amount that may be used at once beyond the rate.
     pub burst: f64,
-    /// Version of the configuration that it is from.
+    /// Version of the configuration that the limit comes from.
     pub version: u64,
 }
 
@@ -24,109 +24,109 @@
     }
 }
 
-/// Asks a node to lend.
+/// A borrower's request for tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TokenRequest {
-    /// Rises with each question of a node, so that one that is sent again is known.
+    /// Increases with each request of a node and identifies one that is sent again.
     pub number: u64,
-    /// The limit.
+    /// Key of the limit.
     pub key: QuotaKey,
-    /// Its limit.
+    /// Rate, burst and version of the limit.
     pub limit: LimitParameters,
-    /// What the first request that waits costs.
+    /// Missing tokens for the first waiting request.
     pub first_cost: f64,
-    /// What all that wait cost.
+    /// Missing tokens for all waiting requests.
     pub total_cost: f64,
-    /// What the node expects to need next.
+    /// Tokens that the node expects to need next.
     pub prefetch: f64,
-    /// Whether nodes that come before the one that is asked do not answer.
+    /// Whether lenders that rank above the recipient do not respond.
     pub is_failover: bool,
-    /// Whether the node that asks knows too little of the others, so that it asks a seed.
+    /// Whether the borrower has no stable view of the fleet and therefore asks a seed.
     pub is_bootstrap: bool,
 }
 
-/// What is answered.
+/// A lender's response to a token request.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum TokenResponse {
-    /// So many tokens are lent.
+    /// Tokens were lent.
     Lent {
-        /// The tokens.
+        /// Number of tokens.
         tokens: f64,
-        /// The book that they are lent from.
+        /// Account that they were lent from.
         account_id: u32,
     },
-    /// The limit is used up.
+    /// The limit is exhausted.
     Denied {
-        /// Microseconds for which nothing that costs as much can be granted.
+        /// Microseconds for which no request of the same cost can be granted.
         empty_micros: u32,
-        /// Milliseconds after which the caller should come back: later than those who were
-        /// refused before it.
+        /// Milliseconds after which to retry, spaced out from the retries of requests that were
+        /// denied before.
         retry_after_millis: u32,
     },
     /// Another node lends for this limit.
     Redirect(SocketAddrV4),
-    /// The node knows too little of the others to lend.
+    /// The recipient has no stable view of the fleet and does not lend.
     NotReady,
-    /// The same as denied, by a node that may not be the only one that lends: it holds back a
-    /// part of the limit, so that the limit may not be used up.
+    /// Denied by a lender that may not be the only one. It withholds a part of the limit, so the
+    /// limit itself may not be exhausted.
     DeniedProvisionally {
-        /// Microseconds for which nothing that costs as much can be granted.
+        /// Microseconds for which no request of the same cost can be granted.
         empty_micros: u32,
-        /// Milliseconds after which tokens are there.
+        /// Milliseconds after which tokens are available.
         retry_after_millis: u32,
     },
 }
 
-/// A datagram between nodes that lend allowances.
+/// A datagram between borrowers and lenders, or between lenders.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LendingMessage {
-    /// Asks for tokens.
+    /// Requests tokens.
     Request(TokenRequest),
-    /// The answer.
+    /// Answers a token request.
     Response {
-        /// The limit.
+        /// Key of the limit.
         key: QuotaKey,
-        /// Number of the question.
+        /// Number of the request.
         number: u64,
-        /// What is answered.
+        /// The lender's response.
         response: TokenResponse,
     },
-    /// Gives tokens back that were not used.
+    /// Returns tokens that were not used.
     Return {
-        /// The limit.
+        /// Key of the limit.
         key: QuotaKey,
-        /// Rises with each return of a node.
+        /// Increases with each return of a node, so that duplicates are ignored.
         number: u64,
-        /// The book that they were lent from.
+        /// Account that the tokens were lent from.
         account_id: u32,
-        /// The tokens.
+        /// Number of tokens.
         tokens: f64,
     },
-    /// Asks the node that has lent until now for what is left in its book, and to stop.
+    /// Asks the previous lender to stop lending and to report what remains in its account.
     TakeOver {
-        /// The limit.
+        /// Key of the limit.
         key: QuotaKey,
     },
-    /// The answer: what is left, if it has a book.
+    /// Answers a takeover.
     HandedOver {
-        /// The limit.
+        /// Key of the limit.
         key: QuotaKey,
-        /// Tokens that are left.
+        /// Tokens that remain; None if the node has no lending account.
         remaining: Option<f64>,
     },
-    /// Asks a node how it stands: one that is said to be silent, or another seed while the
-    /// fleet may be starting.
+    /// Asks a node for its status: a lender that is reported not to respond, another seed while the
+    /// fleet may be starting, or a node whose reachability is sampled.
     Probe {
-        /// The limit that it would lend for.
+        /// Key of the limit that the node would lend for.
         key: QuotaKey,
     },
-    /// The answer.
+    /// Answers a probe.
     ProbeResponse {
-        /// The limit.
+        /// Key of the limit.
         key: QuotaKey,
-        /// Whether it lends.
+        /// Whether the node lends for the limit, or would because it ranks first.
         is_lending: bool,
-        /// Whether it has watched the others for long enough to know who does.
+        /// Whether the node has observed the fleet for long enough to know the lender.
         is_stable: bool,
     },
 }
--- a/crates/cometmoor-core/src/gateway/quota/lending/reachability.rs
+++ b/crates/cometmoor-core/src/gateway/quota/lending/reachability.rs
@@ -1,119 +1,124 @@
-//! Which part of the fleet a node reaches, by a sample.
+//! Estimates from a sample how much of the fleet a node reaches.
 //!
-//! A node that lends because the first one is silent does not know whether the first has
-//! failed or whether it is cut off itself. Who asks it tells that only after many questions,
-//! too late for a small limit. So it probes some of the others.
+//! A fallback lender does not know whether the first-ranked node has failed or whether it is
+//! partitioned from it itself. The senders of its token requests show that only after many
+//! requests, too late for a small limit. It therefore probes some of the other nodes.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
 use crate::time::BootInstant;
 
-/// Nodes that are probed at once.
-const SAMPLE: usize = 8;
-/// Time for their answers.
-const ANSWERS_WITHIN: Duration = Duration::from_millis(90);
-/// Time after which those that have not answered are probed again, as long as the sample is
-/// not complete: a lost datagram is not a node out of reach.
-const PROBED_AGAIN_EACH: Duration = Duration::from_millis(30);
-/// Time after which others are probed, while it matters.
-const PROBED_EACH: Duration = Duration::from_millis(150);
-/// Time for which a sample counts: until the next one is complete, at the latest. That one
-/// begins an idle tick (250 ms) after it was due.
-const COUNTS_FOR: Duration = Duration::from_millis(500);
+/// Number of nodes in a sample.
+const SAMPLE_SIZE: usize = 8;
+/// Time within which the probed nodes have to respond.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(90);
+/// Time after which nodes that have not responded are probed again while the sample is incomplete,
+/// because a lost datagram does not mean that a node is unreachable.
+const RESEND_INTERVAL: Duration = Duration::from_millis(30);
+/// Time between two samples while the estimate is needed.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(150);
+/// Time for which a sample is valid: at most until the next one is complete, which may start an
+/// idle tick (250 ms) after it was due.
+const SAMPLE_LIFETIME: Duration = Duration::from_millis(500);
 
-/// A sample of the nodes.
+/// A sample of the other nodes.
 #[derive(Clone, Debug)]
 struct Sample {
     probed: Vec<SocketAddrV4>,
-    answered: Vec<SocketAddrV4>,
-    /// Nodes that the sample is of.
-    of: usize,
-    began: BootInstant,
-    /// When nodes of it were last probed.
-    probed_at: BootInstant,
+    responded: Vec<SocketAddrV4>,
+    /// Number of nodes that the sample was taken from.
+    population: usize,
+    started: BootInstant,
+    /// When nodes of the sample were last probed.
+    last_probed: BootInstant,
 }
 
 impl Sample {
     fn is_complete(&self, now: BootInstant) -> bool {
-        self.answered.len() == self.probed.len() || now.since(self.began) >= ANSWERS_WITHIN
+        self.responded.len() == self.probed.len() || now.since(self.started) >= RESPONSE_TIMEOUT
     }
 
-    /// Nodes that are reached by estimate, this one not counted.
+    /// Estimated number of reachable nodes, without this one.
     fn reached(&self) -> f64 {
-        self.answered.len() as f64 * self.of as f64 / self.probed.len().max(1) as f64
+        self.responded.len() as f64 * self.population as f64 / self.probed.len().max(1) as f64
     }
 }
 
-/// The last samples.
+/// The last two samples, the newest of which may be incomplete.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Reach {
+pub(super) struct Reachability {
     newest: Option<Sample>,
-    before: Option<Sample>,
-    /// Place among the nodes from which the next sample is taken.
-    next: usize,
+    previous: Option<Sample>,
+    /// Index of the first node of the next sample.
+    next_offset: usize,
 }
 
-impl Reach {
-    /// Whether the last sample is old enough for another one.
+impl Reachability {
+    /// Whether the next sample is due.
     pub(super) fn is_sample_due(&self, now: BootInstant) -> bool {
-        self.newest.as_ref().is_none_or(|sample| now.since(sample.began) >= PROBED_EACH)
+        self.newest.as_ref().is_none_or(|sample| now.since(sample.started) >= SAMPLE_INTERVAL)
     }
 
-    /// The nodes to probe now, of those that there are beside this one.
-    pub(super) fn probe(&mut self, others: &[SocketAddrV4], now: BootInstant) -> Vec<SocketAddrV4> {
+    /// Starts a sample of the given nodes, and returns those to probe.
+    pub(super) fn start_sample(
+        &mut self,
+        others: &[SocketAddrV4],
+        now: BootInstant,
+    ) -> Vec<SocketAddrV4> {
         if others.is_empty() {
             return Vec::new();
         }
-        let count = SAMPLE.min(others.len());
+        let count = SAMPLE_SIZE.min(others.len());
         let step = others.len().div_ceil(count);
-        let places = (0..count).map(|place| (self.next + place * step) % others.len());
-        let mut probed: Vec<SocketAddrV4> = places.map(|place| others[place]).collect();
+        let indices = (0..count).map(|index| (self.next_offset + index * step) % others.len());
+        let mut probed: Vec<SocketAddrV4> = indices.map(|index| others[index]).collect();
         probed.sort_unstable();
         probed.dedup();
-        self.next = self.next.wrapping_add(1) % others.len();
+        self.next_offset = self.next_offset.wrapping_add(1) % others.len();
         let sample = Sample {
             probed: probed.clone(),
-            answered: Vec::new(),
-            of: others.len(),
-            began: now,
-            probed_at: now,
+            responded: Vec::new(),
+            population: others.len(),
+            started: now,
+            last_probed: now,
         };
-        self.before = self.newest.replace(sample);
+        self.previous = self.newest.replace(sample);
         probed
     }
 
-    /// Whether nodes of the last sample may yet answer.
-    pub(super) fn awaits_answers(&self, now: BootInstant) -> bool {
+    /// Whether nodes of the last sample may still respond.
+    pub(super) fn awaits_responses(&self, now: BootInstant) -> bool {
         self.newest.as_ref().is_some_and(|sample| !sample.is_complete(now))
     }
 
-    /// The nodes of the last sample to probe again now.
-    pub(super) fn probe_again(&mut self, now: BootInstant) -> Vec<SocketAddrV4> {
+    /// The nodes of the last sample to send a probe to again.
+    pub(super) fn probes_to_resend(&mut self, now: BootInstant) -> Vec<SocketAddrV4> {
         let Some(sample) = &mut self.newest else { return Vec::new() };
-        if sample.is_complete(now) || now.since(sample.probed_at) < PROBED_AGAIN_EACH {
+        if sample.is_complete(now) || now.since(sample.last_probed) < RESEND_INTERVAL {
             return Vec::new();
         }
-        sample.probed_at = now;
-        let answered = &sample.answered;
-        sample.probed.iter().copied().filter(|node| !answered.contains(node)).collect()
+        sample.last_probed = now;
+        let responded = &sample.responded;
+        sample.probed.iter().copied().filter(|node| !responded.contains(node)).collect()
     }
 
-    /// Notes that a node has answered.
-    pub(super) fn note_answer(&mut self, node: SocketAddrV4) {
+    /// Records that a node has responded.
+    pub(super) fn note_response(&mut self, node: SocketAddrV4) {
         if let Some(sample) = &mut self.newest
             && sample.probed.contains(&node)
-            && !sample.answered.contains(&node)
+            && !sample.responded.contains(&node)
         {
-            sample.answered.push(node);
+            sample.responded.push(node);
         }
     }
 
-    /// Number of nodes that are reached, this one included; none where that is not known.
+    /// Estimated number of reachable nodes including this one; None without a valid sample.
     pub(super) fn reached(&self, now: BootInstant) -> Option<f64> {
-        let samples = self.newest.iter().chain(&self.before);
-        let mut known = samples
-            .filter(|sample| sample.is_complete(now) && now.since(sample.began) < COUNTS_FOR);
+        let samples = self.newest.iter().chain(&self.previous);
+        let mut known = samples.filter(|sample| {
+            sample.is_complete(now) && now.since(sample.started) < SAMPLE_LIFETIME
+        });
         Some(known.next()?.reached() + 1.0)
     }
 }
--- a/crates/cometmoor-core/src/gateway/quota/lending/requesters.rs
+++ b/crates/cometmoor-core/src/gateway/quota/lending/requesters.rs
@@ -1,9 +1,9 @@
-//! How many nodes ask a lender, estimated from who has asked lately.
+//! Estimates from recent token requests how many nodes request tokens from a lender.
 //!
-//! When a fleet falls apart, the nodes of the other side stop asking at once, while it takes
-//! seconds until they are missed. A lender that counts who asks it lends the smaller part
-//! soon; one that others turn to because the first is silent sees by the same count how much
-//! of the fleet does so.
+//! When the fleet is partitioned, nodes on the other side stop sending requests at once, but it
+//! takes seconds until they are found to be missing. A primary lender that counts the senders soon
+//! lends only the smaller part of the limit. A fallback lender learns from the same count how much
+//! of the fleet has turned to it.
 
 use std::collections::{HashSet, VecDeque};
 use std::net::SocketAddrV4;
@@ -11,107 +11,119 @@
 
 use crate::time::BootInstant;
 
-/// Time for which a question counts.
-const COUNTED_FOR: Duration = Duration::from_secs(2);
-/// Shortest span that is looked at.
-const SHORTEST_SPAN: Duration = Duration::from_millis(400);
-/// Questions for each node that are looked at, where so many came.
-const QUESTIONS_FOR_NODE: f64 = 1.5;
-/// Fewest questions, and fewest for each node, that tell whether the fleet is apart: two
-/// of one node say nothing. A node of six that is alone asks itself six times in the time
-/// looked at, not twelve.
-const LEAST_QUESTIONS: f64 = 6.0;
-const LEAST_FOR_NODE: f64 = 0.3;
-/// Part of the nodes of which fewer have to ask for the fleet to count as apart: not all
-/// nodes have as many callers.
-const APART_BELOW: f64 = 0.85;
-/// Deviations by which fewer nodes have to ask than would by chance.
-const DEVIATIONS: f64 = 3.0;
+/// Time for which a request counts.
+const REQUEST_MEMORY: Duration = Duration::from_secs(2);
+/// Shortest span of requests that an estimate covers.
+const MIN_SAMPLE_SPAN: Duration = Duration::from_millis(400);
+/// Requests per node after which older ones are not counted.
+const SAMPLE_REQUESTS_PER_NODE: f64 = 1.5;
+/// Minimum number of requests, and of requests per node, from which a partition can be inferred:
+/// two requests from one node are no evidence. An isolated node in a fleet of six sends itself six
+/// requests in the span of an estimate, not twelve.
+const MIN_REQUESTS: f64 = 6.0;
+const MIN_REQUESTS_PER_NODE: f64 = 0.3;
+/// Fraction of the nodes below which the fleet counts as partitioned. It is less than one because
+/// not all nodes have equally many clients.
+const PARTITIONED_BELOW: f64 = 0.85;
+/// Standard deviations by which the number of distinct nodes has to lie below the expected one.
+const SIGNIFICANT_DEVIATIONS: f64 = 3.0;
 /// Time between two estimates.
-const ESTIMATE_EACH: Duration = Duration::from_millis(100);
-/// Steps by which an estimate is narrowed down.
-const STEPS: usize = 30;
+const ESTIMATE_INTERVAL: Duration = Duration::from_millis(100);
+/// Bisection steps of an estimate.
+const BISECTION_STEPS: usize = 30;
 
-/// Who has asked lately.
+/// The senders of recent token requests.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Askers {
-    questions: VecDeque<(BootInstant, SocketAddrV4)>,
-    /// The last estimate, when it was made, and of how many questions.
-    estimate: Option<(BootInstant, Estimate)>,
+pub(super) struct RecentRequesters {
+    requests: VecDeque<(BootInstant, SocketAddrV4)>,
+    /// The last estimate, and when it was made.
+    estimate: Option<(BootInstant, RequesterEstimate)>,
 }
 
-/// An estimate of the nodes that ask.
+/// Estimate of the nodes that send token requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct Estimate {
-    /// Part of the nodes that asks.
-    pub(super) part: f64,
-    /// Whether that is a part of the fleet, and not chance.
-    pub(super) is_apart: bool,
+pub(super) struct RequesterEstimate {
+    /// Fraction of the nodes that send token requests.
+    pub(super) share: f64,
+    /// Whether the fraction is significantly less than the whole fleet.
+    pub(super) is_partitioned: bool,
 }
 
-impl Askers {
-    /// Notes a question.
-    pub(super) fn note(&mut self, from: SocketAddrV4, now: BootInstant) {
-        self.questions.push_back((now, from));
-        while let Some((at, _)) = self.questions.front()
-            && now.since(*at) > COUNTED_FOR
+impl RecentRequesters {
+    /// Records a token request.
+    pub(super) fn record(&mut self, from: SocketAddrV4, now: BootInstant) {
+        self.requests.push_back((now, from));
+        while let Some((at, _)) = self.requests.front()
+            && now.since(*at) > REQUEST_MEMORY
         {
-            self.questions.pop_front();
+            self.requests.pop_front();
         }
     }
 
-    /// Estimates how many of so many nodes ask, by the newest questions that suffice.
-    pub(super) fn estimate(&mut self, nodes: usize, now: BootInstant) -> Estimate {
-        let known = self.estimate.filter(|(at, _)| now.since(*at) < ESTIMATE_EACH);
-        if let Some((_, estimate)) = known {
+    /// Estimates which fraction of `nodes` sends token requests, by the newest ones that suffice.
+    /// Estimates are cached for a short time.
+    pub(super) fn estimate(&mut self, nodes: usize, now: BootInstant) -> RequesterEstimate {
+        let cached = self.estimate.filter(|(at, _)| now.since(*at) < ESTIMATE_INTERVAL);
+        if let Some((_, estimate)) = cached {
             return estimate;
         }
-        let wanted = QUESTIONS_FOR_NODE * nodes as f64;
+        let target = SAMPLE_REQUESTS_PER_NODE * nodes as f64;
         let mut distinct = HashSet::new();
-        let mut questions = 0_u32;
-        for (at, from) in self.questions.iter().rev() {
-            let suffices = f64::from(questions) >= wanted && now.since(*at) > SHORTEST_SPAN;
-            if suffices || now.since(*at) > COUNTED_FOR {
+        let mut requests = 0_u32;
+        for (at, from) in self.requests.iter().rev() {
+            let is_sufficient = f64::from(requests) >= target && now.since(*at) > MIN_SAMPLE_SPAN;
+            if is_sufficient || now.since(*at) > REQUEST_MEMORY {
                 break;
             }
             distinct.insert(*from);
-            questions += 1;
+            requests += 1;
         }
-        let estimate = Estimate::of(distinct.len() as f64, f64::from(questions), nodes as f64);
+        let estimate = RequesterEstimate::from_counts(
+            distinct.len() as f64,
+            f64::from(requests),
+            nodes as f64,
+        );
         self.estimate = Some((now, estimate));
         estimate
     }
 }
 
-impl Estimate {
-    /// Of so many distinct nodes among so many questions, in a fleet of so many nodes.
-    fn of(distinct: f64, questions: f64, nodes: f64) -> Estimate {
-        let part = (asking(distinct, questions) / nodes).min(1.0);
-        let by_chance = met(nodes, questions) - DEVIATIONS * deviation(nodes, questions);
-        let suffices = questions >= LEAST_QUESTIONS.max(LEAST_FOR_NODE * nodes);
-        Estimate { part, is_apart: suffices && part < APART_BELOW && distinct < by_chance }
+impl RequesterEstimate {
+    /// Estimate from the number of distinct senders, the number of requests, and the size of the
+    /// fleet.
+    fn from_counts(distinct: f64, requests: f64, nodes: f64) -> RequesterEstimate {
+        let share = (estimate_requesters(distinct, requests) / nodes).min(1.0);
+        let expected_at_least = expected_distinct(nodes, requests)
+            - SIGNIFICANT_DEVIATIONS * distinct_deviation(nodes, requests);
+        let is_sufficient = requests >= MIN_REQUESTS.max(MIN_REQUESTS_PER_NODE * nodes);
+        RequesterEstimate {
+            share,
+            is_partitioned: is_sufficient
+                && share < PARTITIONED_BELOW
+                && distinct < expected_at_least,
+        }
     }
 }
 
-/// Distinct nodes that are met by so many questions, on average, if all ask alike.
-fn met(nodes: f64, questions: f64) -> f64 {
-    nodes * (1.0 - (-questions / nodes).exp())
+/// Expected number of distinct senders among so many requests if all nodes send alike.
+fn expected_distinct(nodes: f64, requests: f64) -> f64 {
+    nodes * (1.0 - (-requests / nodes).exp())
 }
 
-/// By how much that varies.
-fn deviation(nodes: f64, questions: f64) -> f64 {
-    let of_node = questions / nodes;
-    let variance = (-of_node).exp() - (1.0 + of_node) * (-2.0 * of_node).exp();
+/// Standard deviation of that number.
+fn distinct_deviation(nodes: f64, requests: f64) -> f64 {
+    let per_node = requests / nodes;
+    let variance = (-per_node).exp() - (1.0 + per_node) * (-2.0 * per_node).exp();
     (nodes * variance.max(0.0)).sqrt()
 }
 
-/// The number of nodes of which so many distinct ones are met by so many questions, if each
-/// asks as often as the others.
-fn asking(distinct: f64, questions: f64) -> f64 {
+/// Number of nodes for which the expected number of distinct senders is `distinct`, if all of them
+/// send alike. Found by bisection.
+fn estimate_requesters(distinct: f64, requests: f64) -> f64 {
     let (mut low, mut high) = (distinct.max(1.0), 1e6);
-    for _ in 0..STEPS {
+    for _ in 0..BISECTION_STEPS {
         let middle = (low * high).sqrt();
-        if met(middle, questions) < distinct {
+        if expected_distinct(middle, requests) < distinct {
             low = middle;
         } else {
             high = middle;
--- a/crates/cometmoor-core/src/gateway/quota/lending/wait_queue.rs
+++ b/crates/cometmoor-core/src/gateway/quota/lending/wait_queue.rs
@@ -1,7 +1,7 @@
-//! The order of requests that wait until a lender has earned tokens for them.
+//! The order of nodes that wait until a fallback lender has tokens for them.
 //!
-//! A node that was told when to ask again has a turn until then, so that the tokens do not go
-//! to whoever happens to ask first.
+//! A node that was told when to retry keeps its place until then, so that the tokens do not go to
+//! whichever node happens to send a request first.
 
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
@@ -9,47 +9,47 @@
 
 use crate::time::BootInstant;
 
-/// Time after which a node that has not asked again loses its turn: its tick and datagrams
-/// that are lost and sent again.
-const KEPT_FOR: Duration = Duration::from_millis(130);
+/// Time after the retry time for which a node keeps its place. It covers a tick of that node, and
+/// the loss and retransmission of datagrams.
+const ENTRY_GRACE: Duration = Duration::from_millis(130);
 
 #[derive(Clone, Copy, Debug)]
-struct Turn {
+struct QueueEntry {
     node: SocketAddrV4,
     cost: f64,
-    until: BootInstant,
+    expires: BootInstant,
 }
 
-/// Who waits, in order.
+/// Waiting nodes in the order of their first denial.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Turns {
-    turns: VecDeque<Turn>,
+pub(super) struct WaitQueue {
+    entries: VecDeque<QueueEntry>,
 }
 
-impl Turns {
-    /// Tokens that go to others before this node's.
-    pub(super) fn ahead_of(&mut self, node: SocketAddrV4, now: BootInstant) -> f64 {
-        self.turns.retain(|turn| now < turn.until);
-        let ahead = self.turns.iter().take_while(|turn| turn.node != node);
-        ahead.map(|turn| turn.cost).sum()
+impl WaitQueue {
+    /// Tokens reserved for the nodes ahead of this one. Drops expired entries.
+    pub(super) fn cost_ahead_of(&mut self, node: SocketAddrV4, now: BootInstant) -> f64 {
+        self.entries.retain(|entry| now < entry.expires);
+        let ahead = self.entries.iter().take_while(|entry| entry.node != node);
+        ahead.map(|entry| entry.cost).sum()
     }
 
-    /// Keeps a node's turn, or gives it the last one, until a moment after it asks again.
-    pub(super) fn keep(&mut self, node: SocketAddrV4, cost: f64, asks_again: BootInstant) {
-        let until = asks_again + KEPT_FOR;
-        match self.turns.iter_mut().find(|turn| turn.node == node) {
-            Some(turn) => *turn = Turn { node, cost, until },
-            None => self.turns.push_back(Turn { node, cost, until }),
+    /// Keeps a node's place or appends it to the queue, until shortly after its retry time.
+    pub(super) fn keep_or_append(&mut self, node: SocketAddrV4, cost: f64, retry_at: BootInstant) {
+        let expires = retry_at + ENTRY_GRACE;
+        match self.entries.iter_mut().find(|entry| entry.node == node) {
+            Some(entry) => *entry = QueueEntry { node, cost, expires },
+            None => self.entries.push_back(QueueEntry { node, cost, expires }),
         }
     }
 
-    /// Ends a node's turn: it has its tokens, or does not wait for them.
-    pub(super) fn end(&mut self, node: SocketAddrV4) {
-        self.turns.retain(|turn| turn.node != node);
+    /// Removes a node that has received its tokens or does not wait for them.
+    pub(super) fn remove(&mut self, node: SocketAddrV4) {
+        self.entries.retain(|entry| entry.node != node);
     }
 
-    /// Ends all turns.
+    /// Removes all nodes.
     pub(super) fn clear(&mut self) {
-        self.turns.clear();
+        self.entries.clear();
     }
 }
--- a/crates/cometmoor-core/src/gateway/quota/mod.rs
+++ b/crates/cometmoor-core/src/gateway/quota/mod.rs
@@ -1,12 +1,12 @@
-//! Limits that all nodes hold together: tenants', and those that servers name.
+//! Limits that are enforced across all nodes: those of tenants, and those that servers announce.
 //!
-//! In any window all nodes together may run what a limit allows, a part of that as excess,
-//! and a fixed slack. Nodes that are cut off count. Nobody within a limit is refused for it,
-//! though a node sees only a few of the requests: equal shares of a limit are
-//! less than one request at a hundred nodes.
+//! In any window, all nodes together may admit what a limit allows, a fraction of it as excess, and
+//! a fixed slack. Usage by partitioned nodes counts. No request within a limit is refused because
+//! of it, although each node sees only a few of the requests: with equal shares, a node's share of
+//! a limit would be less than one request at a hundred nodes.
 //!
-//! Behind [`QuotaPolicy`] one node lends for each limit ([`lending`]). The other way that was
-//! built, sums of what all nodes have used, is kept with the tests that compare the two.
+//! [`QuotaPolicy`] is implemented by [`lending`]: one node lends tokens for each limit. An
+//! alternative, which sums the usage of all nodes, is kept with the tests that compare the two.
 
 pub mod bucket;
 pub mod fleet_view;
@@ -21,95 +21,94 @@
 use super::tenants::TenantLimit;
 use crate::time::BootInstant;
 
-/// Names a limit in messages between nodes: a hash of its tenant's or server's name.
+/// Identifies a limit in messages between nodes: a hash of the tenant's or server's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct QuotaKey(pub(super) u64);
 
 impl QuotaKey {
-    /// The key of a tenant's or server's limit.
+    /// The key for the limit of the tenant or server with this name.
     pub fn of(name: &str) -> QuotaKey {
         QuotaKey(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
     }
 }
 
-/// Longest time for which a tenant's request waits for tokens of a fallback lender: with the
-/// time to find one it stays below the longest wait of a request.
+/// Longest time for which a tenant's request waits for tokens of a fallback lender. Together with
+/// the time to find that lender it stays below the longest wait of a request.
 pub const MAX_TENANT_FALLBACK_WAIT: Duration = Duration::from_millis(400);
 
-/// What operators promise of limits, and how long a request may wait for them.
+/// Guaranteed bounds of how far a limit may be exceeded, and how long a request may wait for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaBounds {
-    /// Length of any span in which requests are counted.
+    /// Length of the window; the bounds hold for every window of this length.
     pub window: Duration,
-    /// Part of what a limit allows by which it may be exceeded.
+    /// Fraction of the allowance by which a limit may be exceeded.
     pub excess: f64,
-    /// Amount beyond that, in the limit's unit.
+    /// Fixed amount beyond the allowance and its excess, in the limit's unit.
     pub slack: f64,
-    /// Longest time for which a request waits for tokens of a lender that may not be the only
-    /// one, and therefore holds back a part of the limit.
+    /// Longest time for which a request waits for tokens of a fallback lender. Such a lender may
+    /// not be the only one and therefore withholds a part of the limit.
     pub max_fallback_wait: Duration,
 }
 
 impl QuotaBounds {
-    /// Most that a limit allows in a window.
+    /// Amount that a limit allows in a window: the rate over the window, and the burst.
     fn allowance(&self, limit: &TenantLimit) -> f64 {
         limit.per_second * self.window.as_secs_f64() + limit.burst
     }
 
-    /// Most that all nodes may run in a window.
+    /// Maximum amount that all nodes together may admit in a window.
     pub fn max_usage(&self, limit: &TenantLimit) -> f64 {
         self.allowance(limit) * (1.0 + self.excess) + self.slack
     }
 
-    /// What lies between what a limit allows and what may be run: room for nodes that do not
-    /// know of one another.
+    /// Amount in a window between the allowance of a limit and the maximum usage: room for nodes
+    /// that do not know of each other.
     pub fn headroom(&self, limit: &TenantLimit) -> f64 {
         self.allowance(limit) * self.excess + self.slack
     }
 }
 
-/// A limit as a configuration tells it.
+/// A limit with the version of the configuration that it comes from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct VersionedLimit {
-    /// The limit.
+    /// The rate, burst and unit.
     pub limit: TenantLimit,
-    /// Version of the configuration.
+    /// Version of the configuration; a higher one replaces the limit.
     pub version: u64,
 }
 
-/// Names a request that waits for a decision.
+/// Identifies a request that waits for a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Ticket(pub u64);
 
-/// What is decided on a request.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It may run.
+    /// The request may run.
     Granted,
-    /// It lies beyond the limit; tokens are there after this time.
+    /// The request exceeds the limit; tokens are available after this time.
     Refused(Duration),
-    /// Nobody could be asked.
+    /// No lender could be reached in time.
     Undecided,
-    /// Another node was asked.
+    /// A lender was asked; the decision follows as [`Settled`] with this ticket.
     Pending(Ticket),
 }
 
-/// A decision on a request that had to wait for it.
+/// Decision on a request that was pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settled {
-    /// The request.
+    /// Ticket of the request.
     pub ticket: Ticket,
-    /// The decision; never that it is pending.
+    /// The decision; never [`Decision::Pending`].
     pub decision: Decision,
 }
 
-/// What a policy does beside deciding: messages to send, and requests that need not wait
-/// any longer.
+/// Side effects of a policy call: messages to send, and decisions on pending requests.
 #[derive(Debug)]
 pub struct Effects<Message> {
-    /// Messages, with the nodes that get them.
+    /// Messages with their recipients.
     pub messages: Vec<(SocketAddrV4, Message)>,
-    /// Requests that are decided now.
+    /// Decisions on requests that were pending.
     pub settled: Vec<Settled>,
 }
 
@@ -119,12 +118,12 @@
     }
 }
 
-/// How a node holds limits together with the others.
+/// A method of enforcing limits together with the other nodes.
 pub trait QuotaPolicy {
-    /// What nodes tell one another.
+    /// Message between nodes.
     type Message;
 
-    /// Decides on a request under a limit that costs so much.
+    /// Decides on a request of the given cost under a limit.
     fn request(
         &mut self,
         key: QuotaKey,
@@ -134,7 +133,7 @@
         effects: &mut Effects<Self::Message>,
     ) -> Decision;
 
-    /// Notes that a request which was granted has not run and will not.
+    /// Returns the cost of a request that was granted but was not run.
     fn refund(
         &mut self,
         key: QuotaKey,
@@ -143,7 +142,7 @@
         effects: &mut Effects<Self::Message>,
     );
 
-    /// Takes a message of another node.
+    /// Handles a message from another node.
     fn receive(
         &mut self,
         from: SocketAddrV4,
@@ -152,9 +151,10 @@
         effects: &mut Effects<Self::Message>,
     );
 
-    /// Takes the nodes that are there, this one included while it takes requests.
+    /// Updates the set of live nodes. It includes this node while this node accepts requests.
     fn set_nodes(&mut self, alive: &[SocketAddrV4], now: BootInstant);
 
-    /// Lets time pass; called each 20 ms while requests wait, some times a second otherwise.
+    /// Handles timeouts. Called every 20 ms while requests wait, and several times a second
+    /// otherwise.
     fn tick(&mut self, now: BootInstant, effects: &mut Effects<Self::Message>);
 }
