--- a/crates/cometmoor-gateway/src/published.rs
+++ b/crates/cometmoor-gateway/src/published.rs
@@ -100,12 +100,12 @@
     /// Whether the configuration is the store's newest, so that what it lacks does not
     /// exist.
     pub fn configuration_is_current(&self) -> bool {
-        !self.is_known_behind && self.proof_limits.tells_absence(self.proof_age())
+        !self.is_known_behind && self.proof_limits.proves_absence(self.proof_age())
     }
 
     /// What the configuration's keys are good for now.
-    pub fn key_knowledge(&self) -> KeyFreshness {
-        let knowledge = self.proof_limits.key_knowledge(self.proof_age());
+    pub fn key_freshness(&self) -> KeyFreshness {
+        let knowledge = self.proof_limits.key_freshness(self.proof_age());
         KeyFreshness { denies: knowledge.denies && !self.is_known_behind, ..knowledge }
     }
 
