--- a/crates/cometmoor-core/src/gateway/quota/lending/lender.rs
+++ b/crates/cometmoor-core/src/gateway/quota/lending/lender.rs
@@ -66,14 +66,19 @@
 /// Sends a query to nodes, and returns the state that awaits their responses.
 fn query_peers(
     query: PeerQuery,
-    from: Vec<SocketAddrV4>,
+    peers: Vec<SocketAddrV4>,
     key: QuotaKey,
     now: BootInstant,
     effects: &mut LenderEffects,
 ) -> AccountState {
     let message = query.message(key);
-    effects.messages.extend(from.iter().map(|node| (*node, message)));
-    AccountState::Awaiting(PendingQuery { query, unanswered: from, sent_at: now, is_resent: false })
+    effects.messages.extend(peers.iter().map(|node| (*node, message)));
+    AccountState::Awaiting(PendingQuery {
+        query,
+        unanswered: peers,
+        sent_at: now,
+        is_resent: false,
+    })
 }
 
 impl Lender {
@@ -217,12 +222,13 @@
             return AccountState::Lending(LenderRole::Primary);
         }
         let second = fleet.lenders(key).get(1).copied();
-        let is_young = fleet.time_since_start(now) < self.bounds.window;
-        let seeds = fleet.other_seeds().filter(|_| is_young);
-        let mut from: Vec<SocketAddrV4> = departed.into_iter().chain(second).chain(seeds).collect();
-        from.sort_unstable();
-        from.dedup();
-        query_peers(PeerQuery::Handover(None), from, key, now, effects)
+        let has_started_recently = fleet.time_since_start(now) < self.bounds.window;
+        let seeds = fleet.other_seeds().filter(|_| has_started_recently);
+        let mut peers: Vec<SocketAddrV4> =
+            departed.into_iter().chain(second).chain(seeds).collect();
+        peers.sort_unstable();
+        peers.dedup();
+        query_peers(PeerQuery::Handover(None), peers, key, now, effects)
     }
 
     /// Opens an account. Its bucket is full only if no node can have lent within the last window.
--- a/crates/cometmoor-core/src/gateway/quota/lending/lender_account.rs
+++ b/crates/cometmoor-core/src/gateway/quota/lending/lender_account.rs
@@ -14,8 +14,8 @@
 use crate::gateway::tenants::{QuotaUnit, TenantLimit};
 use crate::time::BootInstant;
 
-/// Time by which a request may reach the lender earlier, or an earlier one later, than it reached
-/// its node. Tokens that would accrue within this time are lent from the leeway.
+/// Time by which the delays between nodes and lender may shift requests against each other. Missing
+/// tokens that accrue within this time are lent from the leeway.
 const ARRIVAL_JITTER: Duration = Duration::from_millis(60);
 /// Capacity of the leeway, as a fraction of the headroom.
 const LEEWAY_SHARE: f64 = 0.15;
--- a/crates/cometmoor-core/src/gateway/quota/mod.rs
+++ b/crates/cometmoor-core/src/gateway/quota/mod.rs
@@ -133,7 +133,7 @@
         effects: &mut Effects<Self::Message>,
     ) -> Decision;
 
-    /// Returns the cost of a request that was granted but was not run.
+    /// Takes back the cost of a request that was granted but will not run.
     fn refund(
         &mut self,
         key: QuotaKey,
--- a/crates/cometmoor-core/src/gateway/quota/server_limit.rs
+++ b/crates/cometmoor-core/src/gateway/quota/server_limit.rs
@@ -15,8 +15,8 @@
     slack: 3.0,
     max_fallback_wait: Duration::ZERO,
 };
-/// Burst beyond one request, as seconds of the server's rate. With 0.1 s, six nodes under constant
-/// load used only 0.73 of a limit of 5 requests a second.
+/// Burst beyond one request, as seconds of the server's rate. With 0.1 s, six nodes under sustained
+/// overload used only 0.73 of a limit of 5 requests a second.
 const BURST_SECONDS: f64 = 0.25;
 /// Minimum rate at which a server is tried, in requests a second, to find out whether its limit
 /// still holds. Otherwise a limit of zero would never end.
