--- a/crates/cometmoor-gateway/src/control/demand.rs
+++ b/crates/cometmoor-gateway/src/control/demand.rs
@@ -1,4 +1,4 @@
-//! Demand over the whole fleet, from the counters of all nodes.
+//! Demand over the whole fleet, measured from the counters in all nodes' heartbeats.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -9,75 +9,76 @@
 use crate::load::{ModelDemand, ModelKey};
 use crate::membership::Heartbeat;
 
-/// Microseconds in a second.
-const MICROS: f64 = 1e6;
+/// Microseconds per second.
+const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The process of a node that a counter belongs to.
+/// The node and process to which a counter belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Source {
+struct CounterSource {
     node: SocketAddrV4,
     incarnation: u64,
 }
 
-/// Demand over the whole fleet, from counters of its nodes.
+/// Measures the demand over the whole fleet from the counters of its nodes.
 #[derive(Debug, Default)]
 pub struct FleetDemandMeter {
-    last: HashMap<(Source, ModelKey), ModelDemand>,
+    last: HashMap<(CounterSource, ModelKey), ModelDemand>,
     rates: FleetDemandRates,
-    first: Option<Timestamp>,
+    first_request: Option<Timestamp>,
 }
 
-/// What is asked of each model a second, over the whole fleet. Plans are made by a copy
-/// of it: the counters, of each node and model, are a hundred times as many.
+/// Rates of demand for each model, over the whole fleet. The planner works on a copy of them,
+/// without the counters, which are kept by node and model and are a hundred times as many.
 #[derive(Clone, Debug, Default)]
 pub struct FleetDemandRates {
-    work: DemandMeter<ModelKey>,
-    slots: DemandMeter<ModelKey>,
-    requests: DemandMeter<ModelKey>,
+    prefill: DemandMeter<ModelKey>,
+    occupied_slots: DemandMeter<ModelKey>,
+    requests_per_second: DemandMeter<ModelKey>,
 }
 
 impl FleetDemandMeter {
-    /// Takes a heartbeat's counters.
+    /// Adds the increase of a heartbeat's counters since the previous heartbeat to the rates.
     pub fn receive(&mut self, heartbeat: &Heartbeat, now: Timestamp) {
-        let source = Source { node: heartbeat.peer_address, incarnation: heartbeat.incarnation };
+        let source =
+            CounterSource { node: heartbeat.peer_address, incarnation: heartbeat.incarnation };
         if !heartbeat.demand.is_empty() {
-            self.first.get_or_insert(now);
+            self.first_request.get_or_insert(now);
         }
         for (key, demand) in &heartbeat.demand {
             let last = self.last.insert((source, *key), *demand).unwrap_or_default();
             let requests = demand.requests.saturating_sub(last.requests);
-            let work = demand.work_micros.saturating_sub(last.work_micros);
-            self.rates.requests.record(*key, requests as f64, now);
-            self.rates.work.record(*key, work as f64 / MICROS, now);
+            let prefill = demand.work_micros.saturating_sub(last.work_micros);
+            self.rates.requests_per_second.record(*key, requests as f64, now);
+            self.rates.prefill.record(*key, prefill as f64 / MICROS_PER_SECOND, now);
             let slots = demand.slot_micros.saturating_sub(last.slot_micros);
-            self.rates.slots.record(*key, slots as f64 / MICROS, now);
+            self.rates.occupied_slots.record(*key, slots as f64 / MICROS_PER_SECOND, now);
         }
     }
 
-    /// When the first request was counted.
+    /// When the first request was counted; `None` if there was none.
     pub fn first_request(&self) -> Option<Timestamp> {
-        self.first
+        self.first_request
     }
 
-    /// What is asked for a second.
+    /// The measured rates.
     pub fn rates(&self) -> &FleetDemandRates {
         &self.rates
     }
 }
 
 impl FleetDemandRates {
-    /// Servers that the work on a model keeps busy.
+    /// Number of servers that a model's prompts keep busy.
     pub fn prefill(&self, key: ModelKey, now: Timestamp) -> f64 {
-        self.work.rate(key, now)
+        self.prefill.rate(key, now)
     }
 
-    /// Slots of servers' batches that a model's requests hold.
+    /// Number of batch slots that a model's requests occupy.
     pub fn occupied_slots(&self, key: ModelKey, now: Timestamp) -> f64 {
-        self.slots.rate(key, now)
+        self.occupied_slots.rate(key, now)
     }
 
-    /// Requests a second.
+    /// Requests per second for a model.
     pub fn requests_per_second(&self, key: ModelKey, now: Timestamp) -> f64 {
-        self.requests.rate(key, now)
+        self.requests_per_second.rate(key, now)
     }
 }
--- a/crates/cometmoor-gateway/src/control/heartbeat.rs
+++ b/crates/cometmoor-gateway/src/control/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Sends and receives what nodes tell one another.
+//! Sends and receives the UDP messages between nodes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,31 +14,32 @@
 use crate::control_traffic::TrafficKind;
 use crate::membership::{Message, ProofRequest};
 
-/// Pause between two heartbeats in a small fleet. Nodes that hear of one
-/// another's load sooner do not send their prompts to one server at once: one
-/// live stream in fifty more is in time than with 200 ms (seven nodes, played
-/// days), for 0.0006 of the worth in bytes and processor time.
+/// Interval between two heartbeats in a small fleet. Nodes that learn of each other's load
+/// sooner send their prompts to the same server less often: compared with 200 ms, one in fifty
+/// more live streams meets its deadlines (seven nodes, simulated days), at a cost in bytes and
+/// CPU time of 0.0006 of the simulation's score.
 const SMALL_FLEET_INTERVAL: Duration = Duration::from_millis(80);
-/// The same in a large fleet, whose hubs repeat what they hear: what nodes know of one
-/// another's load is three of these pauses old at the most. With word that is 0.3 s old
-/// half as many prompts pile up at busy servers as with 0.6 s
-/// (`core/tests/stale_load.rs`); at 300 nodes a hub sends a sixth of what a link of
-/// 20 Mbit/s carries.
-const INTERVAL: Duration = Duration::from_millis(200);
-/// The same for each node beyond 400: a hub's bytes grow with the hubs.
-const INTERVAL_FOR_NODE: Duration = Duration::from_micros(500);
-/// Longest pause: three heartbeats come before a node is suspected.
-const LONGEST_INTERVAL: Duration = Duration::from_millis(420);
-/// Shortest pause in a small fleet, where a heartbeat is wanted before it is due.
-const SHORTEST_INTERVAL: Duration = Duration::from_millis(20);
-/// The same in a large one: the leader's word changes with each order, and hubs pass it
-/// on to their nodes. With 60 ms, 12 digests a second and node were sent instead of five
-/// on a heavy day of 295 nodes, and 301 nodes before 2,999 servers sent 281 KB/s each.
-const LARGE_SHORTEST_INTERVAL: Duration = Duration::from_millis(150);
-/// Largest message, in bytes.
-const MAX_BYTES: usize = 60_000;
+/// The same in a large fleet, in which hubs relay load: a node's view of the others' load is at
+/// most three intervals old. With a view that is 0.3 s old, half as many prompts queue at busy
+/// servers as with 0.6 s (`core/tests/stale_load.rs`). At 300 nodes a hub sends a sixth of the
+/// capacity of a 20 Mbit/s link.
+const LARGE_FLEET_INTERVAL: Duration = Duration::from_millis(200);
+/// The interval for each node of a fleet of more than 400 nodes, in which it grows with the
+/// fleet: a hub sends more bytes the more hubs there are.
+const LARGE_FLEET_INTERVAL_PER_NODE: Duration = Duration::from_micros(500);
+/// Maximum interval: three heartbeats are sent before a node is suspected.
+const LARGE_FLEET_MAX_INTERVAL: Duration = Duration::from_millis(420);
+/// Minimum interval in a small fleet, if a heartbeat is requested before it is due.
+const SMALL_FLEET_MIN_INTERVAL: Duration = Duration::from_millis(20);
+/// The same in a large fleet: the leader's announcement changes with each order, and hubs relay
+/// it to their nodes. With 60 ms, each node was sent 12 digests/s instead of five on a busy day
+/// of 295 nodes, and each of 301 nodes with 2,999 servers sent 281 KB/s.
+const LARGE_FLEET_MIN_INTERVAL: Duration = Duration::from_millis(150);
+/// Maximum size of a message that is received, in bytes.
+const MAX_MESSAGE_BYTES: usize = 60_000;
 
-/// Starts both tasks.
+/// Binds the peer address and starts the tasks that send and receive. Fails if the address
+/// cannot be bound.
 pub async fn start(context: &Rc<ControlContext>, fleet: &Addr<FleetState>) -> io::Result<()> {
     let socket = Rc::new(UdpSocket::bind(SocketAddr::V4(context.settings.peer_address)).await?);
     actix_rt::spawn(receive(context.clone(), socket.clone(), fleet.clone()));
@@ -46,7 +47,7 @@
     Ok(())
 }
 
-fn kind_of(message: &Message) -> TrafficKind {
+fn traffic_kind(message: &Message) -> TrafficKind {
     match message {
         Message::Heartbeat(_) | Message::HeartbeatToHub(..) => TrafficKind::Heartbeat,
         Message::ZoneDigest(_) => TrafficKind::ZoneDigest,
@@ -55,17 +56,18 @@
     }
 }
 
-fn interval(nodes: u32, is_small_fleet: bool) -> Duration {
+fn heartbeat_interval(nodes: u32, is_small_fleet: bool) -> Duration {
     match is_small_fleet {
         true => SMALL_FLEET_INTERVAL,
-        false => (INTERVAL_FOR_NODE * nodes).clamp(INTERVAL, LONGEST_INTERVAL),
+        false => (LARGE_FLEET_INTERVAL_PER_NODE * nodes)
+            .clamp(LARGE_FLEET_INTERVAL, LARGE_FLEET_MAX_INTERVAL),
     }
 }
 
 async fn receive(context: Rc<ControlContext>, socket: Rc<UdpSocket>, fleet: Addr<FleetState>) {
-    let mut buffer = vec![0; MAX_BYTES];
+    let mut buffer = vec![0; MAX_MESSAGE_BYTES];
     loop {
-        // An error tells of an earlier datagram that found nobody.
+        // An error refers to a datagram that was sent earlier and could not be delivered.
         let Ok((length, _)) = socket.recv_from(&mut buffer).await else { continue };
         match Message::decode(&buffer[..length]) {
             Some(Message::ProofRequest(request)) => {
@@ -82,7 +84,7 @@
     }
 }
 
-/// Tells a node since when the configuration is known to be the newest.
+/// Answers a node's request for a proof that the configuration is the newest.
 async fn answer_proof(
     context: Rc<ControlContext>,
     socket: Rc<UdpSocket>,
@@ -92,7 +94,7 @@
     let Ok(answer) = fleet.send(GetProof(request)).await else { return };
     let bytes = Message::ProofAnswer(answer).encode();
     context.traffic.count(TrafficKind::Proof, 1, bytes.len());
-    // A lost answer is asked for again.
+    // If the answer is lost, the node sends another request.
     let _ = socket.try_send_to(&bytes, SocketAddr::V4(request.from));
 }
 
@@ -101,18 +103,18 @@
         let Ok(next) = fleet.send(GetNextMessages).await else { return };
         for outgoing in &next.outgoing {
             let bytes = outgoing.message.encode();
-            let kind = kind_of(&outgoing.message);
+            let kind = traffic_kind(&outgoing.message);
             context.traffic.count(kind, outgoing.targets.len(), bytes.len());
             for target in &outgoing.targets {
-                // A lost message is followed by the next one.
+                // A lost message is made up for by the next one.
                 let _ = socket.try_send_to(&bytes, SocketAddr::V4(*target));
             }
         }
-        let shortest =
-            if next.is_small_fleet { SHORTEST_INTERVAL } else { LARGE_SHORTEST_INTERVAL };
-        let interval = interval(next.nodes, next.is_small_fleet);
-        clock::sleep(shortest).await;
+        let min_interval =
+            if next.is_small_fleet { SMALL_FLEET_MIN_INTERVAL } else { LARGE_FLEET_MIN_INTERVAL };
+        let interval = heartbeat_interval(next.nodes, next.is_small_fleet);
+        clock::sleep(min_interval).await;
         let wanted = context.board.heartbeat_wanted.notified();
-        let _ = clock::timeout(interval - shortest, wanted).await;
+        let _ = clock::timeout(interval - min_interval, wanted).await;
     }
 }
--- a/crates/cometmoor-gateway/src/membership/hubs.rs
+++ b/crates/cometmoor-gateway/src/membership/hubs.rs
@@ -1,4 +1,4 @@
-//! Hubs: nodes that tell many others of the fleet.
+//! What a node sends: heartbeats to other nodes or to its hubs and, as a hub, digests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -7,68 +7,68 @@
 use cometmoor_core::time::Timestamp;
 
 use super::Membership;
-use super::duty::ListPart;
+use super::hub_state::RosterPart;
 use super::message::{Digest, DigestRequest, Heartbeat, Message};
 use super::peers::{Member, Rank};
 
-/// Fewest hubs of a zone, which share its nodes; each can take all.
-const FEWEST_HUBS: usize = 2;
-/// Most hubs of a zone.
-const MOST_HUBS: usize = 6;
-/// Hubs that a node asks.
-const HUBS_ASKED: usize = 2;
-/// Nodes of a zone for each hub.
-const NODES_OF_HUB: usize = 32;
-/// Addresses that are tried at once where nobody has been heard yet.
-const MAX_CONTACTS: usize = 8;
-/// Time between two heartbeats to the node that orders the servers, for each
-/// node of the fleet: it gets so many a second at most.
-const LEADER_INTERVAL: Duration = Duration::from_millis(5);
+/// Minimum number of hubs of a zone. They share its nodes, but each can serve all of them.
+const MIN_HUBS_PER_ZONE: usize = 2;
+/// Maximum number of hubs of a zone.
+const MAX_HUBS_PER_ZONE: usize = 6;
+/// Number of hubs from which a node requests digests.
+const UPSTREAM_HUBS: usize = 2;
+/// Number of nodes of a zone for each hub.
+const NODES_PER_HUB: usize = 32;
+/// Maximum number of contacts that are tried at once, at which no node has been heard yet.
+const MAX_CONTACTS_PER_ROUND: usize = 8;
+/// Time between two regular heartbeats to the leader, for each node of the fleet, so that the
+/// leader receives at most 200/s.
+const LEADER_INTERVAL_PER_NODE: Duration = Duration::from_millis(5);
 
-/// A message, and the nodes that get it.
+/// A message and its recipients.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingMessage {
     /// The message.
     pub message: Message,
-    /// Where it goes.
+    /// Addresses of the nodes to which it is sent.
     pub targets: Vec<SocketAddrV4>,
 }
 
 impl Membership {
-    /// What this node sends now, given its own heartbeat.
+    /// The messages that this node has to send now, given its own heartbeat.
     pub fn outgoing(&mut self, own: &Heartbeat, now: Timestamp) -> Vec<OutgoingMessage> {
-        self.reckon(now);
+        self.refresh_members(now);
         let hubs = self.hubs();
         let mut outgoing = Vec::new();
         if self.is_small_fleet() {
             let targets = self.members().iter().map(Member::address);
-            let targets = targets.chain(self.strangers(own.sequence)).collect();
+            let targets = targets.chain(self.unknown_contacts(own.sequence)).collect();
             push(&mut outgoing, Message::Heartbeat(own.clone()), targets);
-            self.asked.ask(&[], now);
+            self.upstream.set(&[], now);
         } else {
-            self.tell_hubs(own, &hubs, now, &mut outgoing);
+            self.send_to_hubs(own, &hubs, now, &mut outgoing);
         }
-        self.tell_as_hub(own, hubs, now, &mut outgoing);
+        self.send_as_hub(own, hubs, now, &mut outgoing);
         outgoing
     }
 
-    /// Addresses at which nodes may be that are not known to be there: a few,
-    /// others each time.
-    fn strangers(&self, sequence: u64) -> Vec<SocketAddrV4> {
+    /// Contacts at which no node is known to be alive: at most [`MAX_CONTACTS_PER_ROUND`], which
+    /// rotate with the heartbeat's sequence number.
+    fn unknown_contacts(&self, sequence: u64) -> Vec<SocketAddrV4> {
         let is_known = |address: &SocketAddrV4| {
             self.members().binary_search_by_key(address, Member::address).is_ok()
         };
-        let strangers = self.contacts.keys().copied().filter(|address| !is_known(address));
-        let mut strangers: Vec<SocketAddrV4> = strangers.collect();
-        if strangers.len() > MAX_CONTACTS {
-            let turn = (sequence as usize).wrapping_mul(MAX_CONTACTS) % strangers.len();
-            strangers.rotate_left(turn);
-            strangers.truncate(MAX_CONTACTS);
+        let contacts = self.contacts.keys().copied().filter(|address| !is_known(address));
+        let mut contacts: Vec<SocketAddrV4> = contacts.collect();
+        if contacts.len() > MAX_CONTACTS_PER_ROUND {
+            let first = (sequence as usize).wrapping_mul(MAX_CONTACTS_PER_ROUND) % contacts.len();
+            contacts.rotate_left(first);
+            contacts.truncate(MAX_CONTACTS_PER_ROUND);
         }
-        strangers
+        contacts
     }
 
-    /// The hubs: the first nodes of each zone, this one included.
+    /// The hubs of all zones: the first nodes of each by rank, which may include this one.
     fn hubs(&self) -> Hubs {
         let mut ranks: BTreeMap<&str, Vec<(Rank, SocketAddrV4)>> = BTreeMap::new();
         ranks.entry(&self.zone).or_default().push((self.own_rank, self.own));
@@ -78,185 +78,189 @@
         let mut hubs = Hubs::default();
         for (zone, mut ranks) in ranks {
             ranks.sort_unstable();
-            let count = hubs_of(ranks.len());
+            let count = hub_count(ranks.len());
             if zone == self.zone {
-                hubs.passed_over = self.pass_over_silent(&mut ranks, count);
+                hubs.bypassed = self.bypass_unresponsive(&mut ranks, count);
             }
             ranks.truncate(count);
-            let of_zone = if zone == self.zone { &mut hubs.near } else { &mut hubs.far };
+            let of_zone = if zone == self.zone { &mut hubs.local } else { &mut hubs.remote };
             of_zone.extend(ranks.into_iter().map(|(_, address)| address));
         }
-        hubs.is_own = hubs.near.contains(&self.own);
-        hubs.near.retain(|hub| *hub != self.own);
+        hubs.includes_self = hubs.local.contains(&self.own);
+        hubs.local.retain(|hub| *hub != self.own);
         hubs
     }
 
-    /// Takes the hubs of this zone that give no digests off its nodes, so that the next
-    /// ones are asked; tells them. While any hub answers, none is passed over: where
-    /// links are full, nodes would make ever more hubs of one another.
-    fn pass_over_silent(
+    /// Removes the hubs of this zone that send no digests from its nodes, so that requests go to
+    /// the next ones, and returns them. While any of the hubs responds, none is bypassed:
+    /// otherwise nodes would turn more and more of each other into hubs when links are
+    /// saturated.
+    fn bypass_unresponsive(
         &self,
         ranks: &mut Vec<(Rank, SocketAddrV4)>,
         count: usize,
     ) -> Vec<SocketAddrV4> {
-        let is_silent = |(_, hub): &(Rank, SocketAddrV4)| self.asked.is_silent(*hub);
+        let is_unresponsive = |(_, hub): &(Rank, SocketAddrV4)| self.upstream.is_unresponsive(*hub);
         let others = || ranks.iter().take(count).filter(|(_, hub)| *hub != self.own);
-        if others().any(|hub| !is_silent(hub)) {
+        if others().any(|hub| !is_unresponsive(hub)) {
             return Vec::new();
         }
-        let passed_over = ranks.iter().filter(|hub| is_silent(hub)).map(|(_, hub)| *hub).collect();
-        ranks.retain(|hub| !is_silent(hub));
-        passed_over
+        let bypassed =
+            ranks.iter().filter(|hub| is_unresponsive(hub)).map(|(_, hub)| *hub).collect();
+        ranks.retain(|hub| !is_unresponsive(hub));
+        bypassed
     }
 
-    /// A node tells its hubs of itself, and asks one for digests. One that many
-    /// depend on tells all hubs.
-    fn tell_hubs(
+    /// Sends the heartbeat to the hubs of this zone, to the leader and to contacts, and requests
+    /// digests. Hubs, nodes that read the store and the leader, on which many nodes depend, send
+    /// it to the hubs of all zones.
+    fn send_to_hubs(
         &mut self,
         own: &Heartbeat,
         hubs: &Hubs,
         now: Timestamp,
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
-        self.ask_hubs(own, hubs, now, outgoing);
+        self.request_digests(own, hubs, now, outgoing);
         let mut plain = Vec::new();
-        if hubs.is_own || own.reads_store || own.placement.is_some() {
-            plain.extend(&hubs.far);
+        if hubs.includes_self || own.reads_store || own.placement.is_some() {
+            plain.extend(&hubs.remote);
         }
-        let leader = self.leader_to_tell(own, now);
-        plain.extend(leader.filter(|leader| !hubs.near.contains(leader)));
-        plain.extend(self.strangers(own.sequence));
+        let leader = self.leader_due(own, now);
+        plain.extend(leader.filter(|leader| !hubs.local.contains(leader)));
+        plain.extend(self.unknown_contacts(own.sequence));
         plain.sort_unstable();
         plain.dedup();
         push(outgoing, Message::Heartbeat(own.clone()), plain);
     }
 
-    /// Asks two hubs of the zone, so that the death of one costs nothing, and the first
-    /// of them for the servers' load; hubs that are not asked are told as well. Where all
-    /// are silent they are asked on, after those that take their place and one of another
-    /// zone. A hub asks too: it may take itself for one only because it does not know the
-    /// others.
-    fn ask_hubs(
+    /// Requests digests from two hubs of the zone, so that nothing is lost if one dies, and the
+    /// servers' load from the first of them. The zone's other hubs are sent plain heartbeats. If
+    /// all hubs are unresponsive, requests go to the nodes that take their place, to the
+    /// bypassed hubs and to one hub of another zone. A hub sends requests too, because it may
+    /// consider itself a hub only for lack of knowledge of other nodes.
+    fn request_digests(
         &mut self,
         own: &Heartbeat,
         hubs: &Hubs,
         now: Timestamp,
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
-        let mut asked = hubs.near.clone();
-        let first = self.own_rank.share(asked.len()).min(asked.len());
-        asked.rotate_left(first);
-        // Those that answer come first.
-        asked.sort_by_key(|hub| self.asked.is_silent(*hub));
-        let others = asked.split_off(asked.len().min(HUBS_ASKED));
-        if !hubs.passed_over.is_empty() {
-            asked.extend(&hubs.passed_over);
-            asked.extend(self.far_hub_that_answers(hubs));
+        let mut upstream = hubs.local.clone();
+        let first = self.own_rank.bucket(upstream.len()).min(upstream.len());
+        upstream.rotate_left(first);
+        // Responsive hubs come first.
+        upstream.sort_by_key(|hub| self.upstream.is_unresponsive(*hub));
+        let others = upstream.split_off(upstream.len().min(UPSTREAM_HUBS));
+        if !hubs.bypassed.is_empty() {
+            upstream.extend(&hubs.bypassed);
+            upstream.extend(self.responsive_remote_hub(hubs));
         }
-        self.asked.ask(&asked, now);
+        self.upstream.set(&upstream, now);
         push(outgoing, Message::Heartbeat(own.clone()), others);
-        for (place, hub) in asked.into_iter().enumerate() {
-            let question = DigestRequest {
-                known_roster: self.fleet.roster_of(hub),
-                wants_loads: place == 0 && !hubs.is_own,
+        for (index, hub) in upstream.into_iter().enumerate() {
+            let request = DigestRequest {
+                known_roster: self.fleet_digests.roster_version(hub),
+                wants_loads: index == 0 && !hubs.includes_self,
             };
-            push(outgoing, Message::HeartbeatToHub(own.clone(), question), vec![hub]);
+            push(outgoing, Message::HeartbeatToHub(own.clone(), request), vec![hub]);
         }
     }
 
-    /// A hub of another zone. It knows the whole fleet, while whoever takes over here
-    /// has yet to be told.
-    fn far_hub_that_answers(&self, hubs: &Hubs) -> Option<SocketAddrV4> {
-        let mut far = hubs.far.clone();
-        let first = self.own_rank.share(far.len()).min(far.len());
-        far.rotate_left(first);
-        far.into_iter().find(|hub| !self.asked.is_silent(*hub))
+    /// A hub of another zone that is not known to be unresponsive. It knows the whole fleet,
+    /// while the new hubs of this zone still have to learn of it.
+    fn responsive_remote_hub(&self, hubs: &Hubs) -> Option<SocketAddrV4> {
+        let mut remote = hubs.remote.clone();
+        let first = self.own_rank.bucket(remote.len()).min(remote.len());
+        remote.rotate_left(first);
+        remote.into_iter().find(|hub| !self.upstream.is_unresponsive(*hub))
     }
 
-    /// The node that orders the servers, if it is to be told now.
-    fn leader_to_tell(&mut self, own: &Heartbeat, now: Timestamp) -> Option<SocketAddrV4> {
+    /// The leader, if a heartbeat to it is due. It is due at once if requests wait for models.
+    fn leader_due(&mut self, own: &Heartbeat, now: Timestamp) -> Option<SocketAddrV4> {
         let leader = self.placement(now)?.0.leader;
-        let interval = LEADER_INTERVAL * u32::try_from(self.members().len()).unwrap_or(u32::MAX);
-        let is_due = self.hub.leader_told.is_none_or(|told| now.since(told) >= interval);
+        let interval =
+            LEADER_INTERVAL_PER_NODE * u32::try_from(self.members().len()).unwrap_or(u32::MAX);
+        let is_due = self.hub.leader_notified.is_none_or(|sent| now.since(sent) >= interval);
         if leader == self.own || (!is_due && own.awaited_models.is_empty()) {
             return None;
         }
-        self.hub.leader_told = Some(now);
+        self.hub.leader_notified = Some(now);
         Some(leader)
     }
 
-    /// A hub tells other hubs of its zone, and those that asked of the fleet. Who
-    /// knows few others is told the hubs too: one that is no hub knows the fleet
-    /// by its hubs only, and passes that on to nobody.
-    fn tell_as_hub(
+    /// As a hub, sends digests of the zone to the other hubs and digests of the fleet to the
+    /// nodes that requested them. Uninformed nodes are also sent the addresses of the hubs: a
+    /// node that is no hub knows the fleet only from its hubs, and reports it to no other node.
+    fn send_as_hub(
         &mut self,
         own: &Heartbeat,
         hubs: Hubs,
         now: Timestamp,
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
-        let has_audience = self.hub.has_audience(now);
-        if !has_audience && (!hubs.is_own || self.is_small_fleet()) {
+        let has_recipients = self.hub.has_recipients(now);
+        if !has_recipients && (!hubs.includes_self || self.is_small_fleet()) {
             return;
         }
         self.hub.sequence += 1;
-        // Whoever tells of its zone is told in turn, also where only itself knows that it
-        // has become a hub.
-        let telling = self.zones.values().flat_map(|told| {
-            let mut telling: Vec<SocketAddrV4> = told.alive_hubs(now).collect();
-            telling.sort_unstable_by_key(|hub| Rank::of(*hub));
-            telling.truncate(MOST_HUBS);
-            telling
+        // Nodes that send digests of their zone receive this one's in return, even if no other
+        // node knows yet that they have become hubs.
+        let senders = self.zone_digests.values().flat_map(|received| {
+            let mut senders: Vec<SocketAddrV4> = received.alive_hubs(now).collect();
+            senders.sort_unstable_by_key(|hub| Rank::of(*hub));
+            senders.truncate(MAX_HUBS_PER_ZONE);
+            senders
         });
         let others: BTreeSet<SocketAddrV4> =
-            hubs.near.into_iter().chain(hubs.far).chain(telling).collect();
+            hubs.local.into_iter().chain(hubs.remote).chain(senders).collect();
         let others: Vec<SocketAddrV4> = others.into_iter().collect();
-        let informed = self.hub.informed_now(self.members.len(), now);
-        let uninformed = self.hub.introduced_now(now);
+        let uninformed = self.hub.next_uninformed(self.members.len(), now);
+        let introductions = self.hub.next_introductions(now);
         let introduction = Heartbeat { known_peers: others.clone(), ..own.clone() };
-        push(outgoing, Message::Heartbeat(introduction), uninformed);
-        let whole = self.brief_digest(own, now);
-        let for_hubs = self.hub.for_hubs(whole.clone(), now);
-        // The load of others is told when this node's own is.
+        push(outgoing, Message::Heartbeat(introduction), introductions);
+        let base = self.base_digest(own, now);
+        let for_hubs = self.hub.for_hubs(base.clone(), now);
+        // Other nodes' load is included whenever this node's own is.
         let zone = match own.loads.is_some() {
             true => self.zone_digest(own, &for_hubs, now),
             false => for_hubs,
         };
         push(outgoing, Message::ZoneDigest(zone), others);
-        if has_audience {
-            let brief = self.hub.for_nodes(whole.clone(), now);
-            self.tell_audiences(own, &informed, &whole, &brief, now, outgoing);
+        if has_recipients {
+            let for_subscribers = self.hub.for_subscribers(base.clone(), now);
+            self.send_fleet_digests(own, &uninformed, &base, &for_subscribers, now, outgoing);
         }
     }
 
-    /// Tells those that asked of the fleet: all of them its load and the leader's word,
-    /// each what it lacks of the list of nodes. Told whole each time, the list filled
-    /// the links of hubs at 300 nodes, and digests were lost.
-    fn tell_audiences(
+    /// Sends digests of the fleet: to all nodes that requested them the fleet's load and the
+    /// leader's announcement, to each the part of the roster that it lacks. Sent in full each
+    /// time, the roster saturated the links of hubs at 300 nodes, and digests were lost.
+    fn send_fleet_digests(
         &mut self,
         own: &Heartbeat,
-        informed: &[SocketAddrV4],
-        whole: &Digest,
-        brief: &Digest,
+        uninformed: &[SocketAddrV4],
+        base: &Digest,
+        for_subscribers: &Digest,
         now: Timestamp,
         outgoing: &mut Vec<OutgoingMessage>,
     ) {
-        if self.hub.roster_may_be_set(now) {
-            let zones = self.fleet_zones(own, now);
-            self.hub.roster.set(&zones);
-            self.hub.roster_set = Some(now);
+        if self.hub.roster_update_is_due(now) {
+            let zones = self.fleet_members(own, now);
+            self.hub.roster.replace(&zones);
+            self.hub.roster_updated = Some(now);
         }
-        let audiences = self.hub.audiences(informed, own.incarnation, now);
-        let has_newcomers = audiences.keys().any(|audience| audience.is_new);
-        let loads = (own.loads.is_some() || has_newcomers).then(|| self.fleet_loads(own, now));
-        for (audience, targets) in audiences {
-            let mut digest = if audience.is_new { whole.clone() } else { brief.clone() };
-            let tells_loads = audience.is_new || own.loads.is_some();
-            digest.loads = loads.clone().filter(|_| audience.wants_loads && tells_loads);
-            digest.roster = match audience.lacks {
-                ListPart::Nothing => None,
-                ListPart::Since(version) => self.hub.roster.update_since(Some(version)),
-                ListPart::Whole => self.hub.roster.update_since(None),
+        let groups = self.hub.recipient_groups(uninformed, own.incarnation, now);
+        let has_new = groups.keys().any(|group| group.is_new);
+        let loads = (own.loads.is_some() || has_new).then(|| self.fleet_loads(own, now));
+        for (group, targets) in groups {
+            let mut digest = if group.is_new { base.clone() } else { for_subscribers.clone() };
+            let includes_loads = group.is_new || own.loads.is_some();
+            digest.loads = loads.clone().filter(|_| group.wants_loads && includes_loads);
+            digest.roster = match group.missing_roster {
+                RosterPart::None => None,
+                RosterPart::ChangesSince(version) => self.hub.roster.update_since(Some(version)),
+                RosterPart::Full => self.hub.roster.update_since(None),
             };
             push(outgoing, Message::FleetDigest(digest), targets);
         }
@@ -266,19 +270,19 @@
 /// The hubs of all zones, without this node.
 #[derive(Default)]
 struct Hubs {
-    /// Those of this node's zone.
-    near: Vec<SocketAddrV4>,
-    /// Those of this node's zone that give it no digests.
-    passed_over: Vec<SocketAddrV4>,
-    /// Those of the other zones.
-    far: Vec<SocketAddrV4>,
-    /// Whether this node is one.
-    is_own: bool,
+    /// Hubs of this node's zone.
+    local: Vec<SocketAddrV4>,
+    /// Nodes of this node's zone that are skipped as hubs because they send it no digests.
+    bypassed: Vec<SocketAddrV4>,
+    /// Hubs of the other zones.
+    remote: Vec<SocketAddrV4>,
+    /// Whether this node is a hub.
+    includes_self: bool,
 }
 
-/// How many hubs a zone of so many nodes has.
-fn hubs_of(nodes: usize) -> usize {
-    nodes.div_ceil(NODES_OF_HUB).clamp(FEWEST_HUBS, MOST_HUBS)
+/// Number of hubs of a zone with this many nodes.
+fn hub_count(nodes: usize) -> usize {
+    nodes.div_ceil(NODES_PER_HUB).clamp(MIN_HUBS_PER_ZONE, MAX_HUBS_PER_ZONE)
 }
 
 fn push(outgoing: &mut Vec<OutgoingMessage>, message: Message, targets: Vec<SocketAddrV4>) {
--- a/crates/cometmoor-gateway/src/membership/message.rs
+++ b/crates/cometmoor-gateway/src/membership/message.rs
@@ -1,4 +1,4 @@
-//! What nodes tell one another by UDP.
+//! Messages between nodes, sent over UDP.
 
 use std::net::SocketAddrV4;
 
@@ -10,133 +10,134 @@
 use super::packed::PackedZone;
 use crate::load::{ModelDemand, ModelKey, ServerKey, ServerLoad};
 
-/// Version of the messages' format.
-const FORMAT: u8 = 19;
+/// Version of the message format. Messages of another version are dropped.
+const FORMAT_VERSION: u8 = 19;
 
-/// What a node says of itself.
+/// Phase of a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerPhase {
     /// It has no configuration yet.
     Starting,
-    /// It serves clients.
+    /// It accepts client requests.
     Ready,
-    /// It is about to stop.
+    /// It is shutting down.
     Leaving,
 }
 
-/// What the node that orders the servers has done lately; the registry tells
-/// it later.
+/// Recent changes to the placement of models, announced by the leader before they appear in the
+/// registry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// Fencing token of the node's term; 0 while it may not order yet.
+    /// Fencing token of the leader's term; 0 while it may not send orders yet.
     pub token: u64,
-    /// Rises with each change within a term.
+    /// Increases with each change within a term.
     pub sequence: u64,
-    /// The node.
+    /// Peer address of the leader.
     pub leader: SocketAddrV4,
-    /// Models and adapters that servers have got.
+    /// Models and adapters that servers have loaded.
     pub added: Vec<(ServerKey, ModelKey)>,
-    /// Models and adapters that are about to be taken away.
+    /// Models and adapters that servers are about to unload.
     pub withdrawn: Vec<(ServerKey, ModelKey)>,
 }
 
-/// Tells the newer of two placements: a later term's, or within a term the one with
-/// the higher number.
+/// Version by which placements are ordered: a later term's is newer, and within a term the one
+/// with the higher sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct PlacementVersion {
     /// Fencing token of the term.
     pub token: u64,
-    /// Number within the term.
+    /// Sequence number within the term.
     pub sequence: u64,
 }
 
 impl Placement {
-    /// What tells it from others.
+    /// Version of this placement.
     pub fn version(&self) -> PlacementVersion {
         PlacementVersion { token: self.token, sequence: self.sequence }
     }
 }
 
-/// What a hub passes on of the leader's word.
+/// The leader's announcement, as relayed by a hub.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldPlacement {
-    /// The leader.
+pub struct RelayedPlacement {
+    /// Peer address of the leader.
     pub leader: SocketAddrV4,
-    /// Which placement it told last.
+    /// Version of its latest placement.
     pub version: PlacementVersion,
-    /// Milliseconds since the leader itself said so.
+    /// Milliseconds since the leader itself sent it.
     pub age_millis: u32,
-    /// The placement; left out where it was told a moment ago.
-    pub whole: Option<Placement>,
+    /// The placement; `None` if the hub sent it recently.
+    pub placement: Option<Placement>,
 }
 
-/// How new a node's copies of the store are.
+/// Versions and ages of a node's copies of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopyVersions {
     /// Version of its configuration.
     pub configuration: u64,
-    /// Point in the store's history that its copy of the servers is of.
+    /// Position in the store's history of its copy of the servers.
     pub servers: StorePosition,
-    /// Age of the store's last answer by which the configuration is of that
-    /// version, whoever got it.
+    /// Age of the store's latest answer, to any node, that confirms this version of the
+    /// configuration.
     pub configuration_age: CopyAge,
-    /// The same of the servers.
+    /// The same for the servers.
     pub servers_age: CopyAge,
 }
 
-/// Milliseconds since the store last answered anybody in a way that shows that a
-/// copy lacks nothing; none where that is not known.
+/// Milliseconds since the store's latest answer, to any node, that shows that a copy is
+/// complete; `None` if none is known.
 pub type CopyAge = Option<u32>;
 
-/// What a node tells of itself.
+/// A node's regular report on itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Name of the node.
     pub node: String,
-    /// Tells two processes of one node apart; the later one's is higher.
+    /// Distinguishes processes of the same node; later processes have higher numbers.
     pub incarnation: u64,
-    /// Rises with each heartbeat of a process.
+    /// Increases with each heartbeat of a process.
     pub sequence: u64,
-    /// Zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Where clients reach it.
+    /// Address for clients.
     pub client_address: SocketAddrV4,
-    /// Where nodes reach it.
+    /// Address for messages from other nodes.
     pub peer_address: SocketAddrV4,
-    /// What it says of itself.
+    /// Phase of its process.
     pub phase: PeerPhase,
-    /// How new its copies are.
+    /// Versions of its copies of the store.
     pub versions: CopyVersions,
     /// Whether it reads the store itself, and the store answers.
     pub reads_store: bool,
     /// Whether the store does not answer it.
     pub store_fails: bool,
-    /// Its load on the servers; left out where it was told a moment ago.
+    /// Its load on the servers; `None` if it was sent recently.
     pub loads: Option<Vec<(ServerKey, ServerLoad)>>,
-    /// Work that it was asked of each model since its process began.
+    /// Counters of the work requested from models since its process started, for those that
+    /// changed recently.
     pub demand: Vec<(ModelKey, ModelDemand)>,
-    /// Models and adapters that its requests wait for now.
+    /// Models and adapters for which its requests wait now.
     pub awaited_models: Vec<ModelKey>,
-    /// Contents that were present at crashes of servers, where that has changed lately.
+    /// Content that was in flight during crashes of servers, for records that changed recently.
     pub suspects: Vec<SuspectReport>,
-    /// What servers report of themselves, where that has changed lately.
+    /// State that servers report about themselves, for records that changed recently.
     pub signals: Vec<SignalReport>,
-    /// What it tells of the servers' models while it orders them.
+    /// Its placement, if it is leader.
     pub placement: Option<Placement>,
-    /// How many other nodes it knows.
+    /// Number of other nodes that it knows.
     pub member_count: u16,
-    /// Some other nodes' addresses.
+    /// Addresses of some of the other nodes.
     pub known_peers: Vec<SocketAddrV4>,
 }
 
-/// A node, as a hub tells of it.
+/// A node in a hub's digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberEntry {
-    /// Where nodes reach it.
+    /// Address for messages from other nodes.
     pub peer_address: SocketAddrV4,
-    /// Where clients reach it.
+    /// Address for clients.
     pub client_address: SocketAddrV4,
-    /// What it says of itself.
+    /// Phase of its process.
     pub phase: PeerPhase,
     /// Whether it reads the store itself, and the store answers.
     pub reads_store: bool,
@@ -148,122 +149,121 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "PackedZone", into = "PackedZone")]
 pub struct ZoneMembers {
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
     /// Its nodes.
     pub members: Vec<MemberEntry>,
 }
 
-/// A version of a hub's list of nodes.
+/// A version of a hub's roster, its list of the nodes of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RosterVersion {
-    /// Tells two processes of the hub apart.
+    /// Distinguishes processes of the hub.
     pub incarnation: u64,
-    /// Rises with each change of the list.
+    /// Increases with each change to the roster.
     pub number: u64,
 }
 
-/// What a node asks of a hub.
+/// A node's request to a hub for digests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestRequest {
-    /// The version of the hub's list that the node has.
+    /// The version of the hub's roster that the node has; `None` if it has none.
     pub known_roster: Option<RosterVersion>,
-    /// Whether it wants the servers' load too; one hub is enough for that.
+    /// Whether digests are to include the servers' load, which is needed from one hub only.
     pub wants_loads: bool,
 }
 
-/// What leads from one version of a hub's list of nodes to another.
+/// The changes from one version of a hub's roster to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RosterUpdate {
-    /// The version that it leads to.
+    /// Version after the update.
     pub version: u64,
-    /// The version that it starts from; none where it is the whole list.
+    /// Version on which the update is based; `None` if it is the full roster.
     pub base_version: Option<u64>,
     /// Nodes that are new or changed.
     pub updated: Vec<ZoneMembers>,
-    /// Nodes that have gone.
+    /// Nodes that are no longer in the roster.
     pub removed: Vec<SocketAddrV4>,
 }
 
-/// What a hub tells of many nodes together.
+/// A hub's report on many nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Where nodes reach the hub.
+    /// Peer address of the hub.
     pub hub: SocketAddrV4,
     /// Zone of the hub.
     pub zone: String,
-    /// Tells two processes of the hub apart.
+    /// Distinguishes processes of the hub.
     pub incarnation: u64,
-    /// Rises with each digest of a process.
+    /// Increases with each round of digests of a process.
     pub sequence: u64,
-    /// How new the hub's copies are.
+    /// Versions of the hub's copies of the store.
     pub versions: CopyVersions,
-    /// The nodes of the hub's zone, for other hubs.
+    /// The nodes of the hub's zone, in digests for other hubs.
     pub zones: Option<Vec<ZoneMembers>>,
-    /// What a node that asked lacks of the hub's list of the fleet; left out where it
-    /// lacks nothing.
+    /// The changes to the roster that the recipient lacks; `None` if it lacks none.
     pub roster: Option<RosterUpdate>,
-    /// Load on the servers of all nodes that the digest is about, the busiest
-    /// servers first; left out where it was told a moment ago.
+    /// Load on the servers from all nodes that the digest covers, busiest servers first; `None`
+    /// if it was sent recently or is not requested.
     pub loads: Option<Vec<(ServerKey, ServerLoad)>>,
-    /// The newest that was heard of the node that orders the servers.
-    pub placement: Option<ToldPlacement>,
-    /// Contents that were present at crashes of servers, where that has changed lately.
+    /// The leader's latest announcement.
+    pub placement: Option<RelayedPlacement>,
+    /// Content that was in flight during crashes of servers, for records that changed recently.
     pub suspects: Vec<SuspectReport>,
-    /// What servers report of themselves, where that has changed lately.
+    /// State that servers report about themselves, for records that changed recently.
     pub signals: Vec<SignalReport>,
 }
 
-/// Asks a node since when it knows that its configuration is the store's newest.
+/// Asks a node for the age of its proof that its configuration is the store's newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProofRequest {
-    /// Where the answer goes.
+    /// Address to which the answer is sent.
     pub from: SocketAddrV4,
-    /// Tells the answer from those to other requests.
+    /// Request number, which the answer repeats.
     pub number: u64,
 }
 
-/// The answer.
+/// The answer to a [`ProofRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProofAnswer {
     /// Number of the request.
     pub number: u64,
-    /// Version of the configuration in force at the node that answers.
+    /// Version of the configuration in force on the answering node.
     pub configuration: u64,
-    /// Era of the store that told so.
+    /// Era of the store that proved it.
     pub era: StoreEra,
-    /// Milliseconds since the store is known to have held nothing newer; none where that
-    /// is not known.
+    /// Milliseconds since the store is known to have held nothing newer; `None` if there is no
+    /// proof.
     pub age_millis: Option<u32>,
 }
 
 /// A datagram between nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A node tells of itself.
+    /// A node's heartbeat.
     Heartbeat(Heartbeat),
-    /// A node tells a hub of itself, and asks for digests of the fleet.
+    /// A node's heartbeat to a hub, with a request for digests of the fleet.
     HeartbeatToHub(Heartbeat, DigestRequest),
-    /// A hub tells other hubs of its zone.
+    /// A hub's digest of its zone, for other hubs.
     ZoneDigest(Digest),
-    /// A hub tells a node of the fleet.
+    /// A hub's digest of the fleet, for a node that requested it.
     FleetDigest(Digest),
-    /// A node asks since when its configuration is the newest.
+    /// A node's request for a proof of the configuration.
     ProofRequest(ProofRequest),
-    /// The answer.
+    /// The answer to a request for a proof.
     ProofAnswer(ProofAnswer),
 }
 
 impl Message {
-    /// As sent: the format's version, then the message.
+    /// Encodes the format version and the message with `postcard`.
     pub fn encode(&self) -> Vec<u8> {
-        postcard::to_stdvec(&(FORMAT, self)).unwrap_or_default()
+        postcard::to_stdvec(&(FORMAT_VERSION, self)).unwrap_or_default()
     }
 
-    /// As received.
+    /// Decodes a datagram; `None` if it is malformed or has another format version.
     pub fn decode(bytes: &[u8]) -> Option<Message> {
         let (format, rest) = postcard::take_from_bytes::<u8>(bytes).ok()?;
-        if format != FORMAT {
+        if format != FORMAT_VERSION {
             return None;
         }
         postcard::from_bytes(rest).ok()
--- a/crates/cometmoor-gateway/src/membership/packed.rs
+++ b/crates/cometmoor-gateway/src/membership/packed.rs
@@ -1,7 +1,7 @@
-//! Lists of nodes as sent: five bytes for each node whose ports are the usual ones.
+//! Compact encoding of lists of nodes: five bytes for each node that uses the common ports.
 //!
-//! Written out field by field an entry takes seventeen bytes, and a list of 300 nodes,
-//! sent by a hub to its sixty nodes at once, overflows a link's queue.
+//! Encoded field by field an entry takes seventeen bytes, and a list of 300 nodes that a hub
+//! sends to its sixty nodes at once overflows the queue of a link.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -13,17 +13,17 @@
 const READS_STORE: u8 = 0b100;
 const STORE_FAILS: u8 = 0b1000;
 
-/// The nodes of one zone, packed.
+/// The nodes of one zone in compact form.
 #[derive(Clone, Serialize, Deserialize)]
 pub(super) struct PackedZone {
     zone: String,
-    /// Ports of the nodes that are packed.
+    /// Ports of the packed nodes: those of the first node of the list.
     peer_port: u16,
     client_port: u16,
-    /// Host and flags of each node whose two addresses share the host and have the
-    /// ports above.
+    /// Host and flags of each node whose two addresses have the same host and the ports
+    /// above.
     packed: Vec<([u8; 4], u8)>,
-    /// The other nodes.
+    /// All other nodes.
     others: Vec<MemberEntry>,
 }
 
@@ -31,14 +31,14 @@
     fn from(members: ZoneMembers) -> PackedZone {
         let ports = |entry: &MemberEntry| (entry.peer_address.port(), entry.client_address.port());
         let (peer_port, client_port) = members.members.first().map(ports).unwrap_or_default();
-        let is_usual = |entry: &MemberEntry| {
+        let is_packable = |entry: &MemberEntry| {
             ports(entry) == (peer_port, client_port)
                 && entry.peer_address.ip() == entry.client_address.ip()
         };
-        let (usual, others): (Vec<MemberEntry>, Vec<MemberEntry>) =
-            members.members.into_iter().partition(is_usual);
+        let (packable, others): (Vec<MemberEntry>, Vec<MemberEntry>) =
+            members.members.into_iter().partition(is_packable);
         let pack = |entry: MemberEntry| (entry.peer_address.ip().octets(), flags(&entry));
-        let packed = usual.into_iter().map(pack).collect();
+        let packed = packable.into_iter().map(pack).collect();
         PackedZone { zone: members.zone, peer_port, client_port, packed, others }
     }
 }
--- a/crates/cometmoor-gateway/src/membership/peers.rs
+++ b/crates/cometmoor-gateway/src/membership/peers.rs
@@ -1,4 +1,4 @@
-//! Nodes that were heard: by their own heartbeats, or from a hub.
+//! Nodes that this node knows, and those from which it receives heartbeats itself.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -8,45 +8,45 @@
 
 use super::message::{Heartbeat, MemberEntry, PeerPhase};
 
-/// Silence after which a node is not offered to clients any more.
+/// Silence after which a node is no longer offered to clients.
 pub(super) const SUSPECT_AFTER: Duration = Duration::from_millis(1300);
-/// Silence of a hub after which what it told does not count any more.
+/// Silence of a hub after which its digests are no longer used.
 pub(super) const HUB_SUSPECT_AFTER: Duration = Duration::from_millis(1500);
 /// Silence after which a node is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
 
-/// Bits of a rank that its share leaves out.
-const SHARE_SHIFT: u32 = 8;
+/// Low bits of a rank's hash that do not affect its bucket.
+const BUCKET_SHIFT: u32 = 8;
 
-/// Place of a node in an order that all nodes agree on.
+/// Position of a node in an order on which all nodes agree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank(u64, SocketAddrV4);
 
 impl Rank {
-    /// Rank of the node with this address.
+    /// Rank of the node with this address, from a hash of the address.
     pub fn of(address: SocketAddrV4) -> Rank {
         Rank(xxhash_rust::xxh3::xxh3_64(address.to_string().as_bytes()), address)
     }
 
-    /// Which of so many parts of the nodes this one belongs to.
-    pub(super) fn share(self, parts: usize) -> usize {
-        let parts = u64::try_from(parts.max(1)).unwrap_or(1);
-        usize::try_from((self.0 >> SHARE_SHIFT) % parts).unwrap_or(0)
+    /// The one of `buckets` buckets to which the node is assigned; 0 if there are none.
+    pub(super) fn bucket(self, buckets: usize) -> usize {
+        let buckets = u64::try_from(buckets.max(1)).unwrap_or(1);
+        usize::try_from((self.0 >> BUCKET_SHIFT) % buckets).unwrap_or(0)
     }
 }
 
-/// What is known of another node.
+/// Another node, as known from its heartbeats or from a hub.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Zone.
+    /// Zone of the node.
     pub zone: String,
-    /// The rest.
+    /// Addresses and state.
     pub entry: MemberEntry,
-    /// Its place in the order of nodes.
+    /// Position in the order of nodes.
     pub rank: Rank,
 }
 
-/// A node, by its own last heartbeat.
+/// A node with its latest heartbeat.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub(super) heartbeat: Heartbeat,
@@ -59,7 +59,7 @@
         now.since(self.heard) <= SUSPECT_AFTER
     }
 
-    /// As others are told of it.
+    /// The entry that digests include for it.
     pub(super) fn entry(&self) -> MemberEntry {
         MemberEntry {
             peer_address: self.heartbeat.peer_address,
@@ -75,32 +75,32 @@
     }
 }
 
-/// What a heartbeat changed.
+/// The effect of a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerChange {
-    /// Nothing that others need to know.
+    /// The node was alive and its phase is the same.
     None,
-    /// The node is new or back.
+    /// The node is new, or is alive again after it was suspected.
     Up,
-    /// It said something else of itself.
+    /// The node's phase changed.
     Phase,
 }
 
-/// Nodes that were heard themselves.
+/// Nodes that send heartbeats to this one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DirectPeers {
     peers: HashMap<SocketAddrV4, Peer>,
 }
 
 impl DirectPeers {
-    /// Whether no later heartbeat of the node came before this one.
+    /// Whether the heartbeat is later than all that were received from the node before.
     pub(super) fn is_newer(&self, heartbeat: &Heartbeat) -> bool {
         let order = |beat: &Heartbeat| (beat.incarnation, beat.sequence);
         let known = self.peers.get(&heartbeat.peer_address);
         known.is_none_or(|peer| order(&peer.heartbeat) < order(heartbeat))
     }
 
-    /// Takes a heartbeat, unless a later one came before it.
+    /// Stores a heartbeat, unless a later one was received before.
     pub(super) fn receive(&mut self, mut heartbeat: Heartbeat, now: Timestamp) -> PeerChange {
         let address = heartbeat.peer_address;
         if !self.is_newer(&heartbeat) {
@@ -121,7 +121,7 @@
         change
     }
 
-    /// Those that were heard lately.
+    /// Nodes that were heard within [`SUSPECT_AFTER`].
     pub(super) fn alive(&self, now: Timestamp) -> impl Iterator<Item = &Peer> {
         self.peers.values().filter(move |peer| peer.is_alive(now))
     }
@@ -134,12 +134,12 @@
         self.peers.get(&address)
     }
 
-    /// Those that are not forgotten, with when they were heard.
-    pub(super) fn heard(&self) -> impl Iterator<Item = (SocketAddrV4, Timestamp)> {
+    /// All nodes that are not forgotten, and when they were last heard.
+    pub(super) fn last_heard(&self) -> impl Iterator<Item = (SocketAddrV4, Timestamp)> {
         self.peers.iter().map(|(address, peer)| (*address, peer.heard))
     }
 
-    pub(super) fn forget(&mut self, now: Timestamp) {
+    pub(super) fn expire(&mut self, now: Timestamp) {
         self.peers.retain(|_, peer| now.since(peer.heard) < FORGET_AFTER);
     }
 }
@@ -149,12 +149,12 @@
 }
 
 impl Member {
-    /// Whether it takes clients' requests.
+    /// Whether it accepts client requests.
     pub fn is_ready(&self) -> bool {
         self.entry.phase == PeerPhase::Ready
     }
 
-    /// Where nodes reach it.
+    /// Address for messages from other nodes.
     pub fn address(&self) -> SocketAddrV4 {
         self.entry.peer_address
     }
--- a/crates/cometmoor-gateway/src/membership/roster.rs
+++ b/crates/cometmoor-gateway/src/membership/roster.rs
@@ -1,43 +1,43 @@
-//! The nodes of the fleet as a hub lists them for those that ask it: told by change,
-//! whole only to a node that has no version of the list, or one too old.
+//! A hub's list of the nodes of the fleet. Nodes that request digests are sent changes to it,
+//! and the full list only if they have no version of it or one that is too old.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
 use super::message::{MemberEntry, RosterUpdate, ZoneMembers};
 
-/// Nodes that have gone and are still listed as such. A node whose version is older is
-/// told the whole list: at 1,000 nodes that many go within minutes, and a node asks
-/// anew twice a second.
-const MAX_GONE: usize = 512;
+/// Maximum number of removed nodes that are kept. A node with an older version is sent the full
+/// list: with 1,000 nodes it takes minutes until that many have left, and a node sends a
+/// request twice a second.
+const MAX_REMOVED: usize = 512;
 
 #[derive(Clone, Debug)]
-struct Listed {
+struct ListedMember {
     zone: String,
     entry: MemberEntry,
-    /// Version of the list by which it was last changed.
-    changed: u64,
+    /// Version of the roster in which it last changed.
+    changed_in: u64,
 }
 
-/// A hub's list of nodes.
+/// A hub's versioned list of nodes.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Roster {
     version: u64,
-    members: BTreeMap<SocketAddrV4, Listed>,
-    /// Nodes that have gone, with the version by which they did, oldest first.
-    gone: VecDeque<(u64, SocketAddrV4)>,
-    /// Nodes that went by this version or before are no longer listed as gone.
-    forgotten: u64,
+    members: BTreeMap<SocketAddrV4, ListedMember>,
+    /// Removed nodes and the versions that removed them, oldest first.
+    removed: VecDeque<(u64, SocketAddrV4)>,
+    /// Removals up to this version are no longer all kept.
+    dropped_up_to: u64,
 }
 
 impl Roster {
-    /// The version of the list; 0 before it was ever set.
+    /// The current version; 0 until the list is first set.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// Sets the list to these nodes.
-    pub(super) fn set(&mut self, zones: &[ZoneMembers]) {
+    /// Replaces the list. The version increases if any node changed.
+    pub(super) fn replace(&mut self, zones: &[ZoneMembers]) {
         let next = self.version + 1;
         let mut members = BTreeMap::new();
         let mut has_changed = self.version == 0;
@@ -46,48 +46,51 @@
                 let known = self.members.remove(&entry.peer_address);
                 let same = known.filter(|known| known.entry == *entry && known.zone == zone.zone);
                 has_changed |= same.is_none();
-                let listed = same.unwrap_or_else(|| Listed {
+                let listed = same.unwrap_or_else(|| ListedMember {
                     zone: zone.zone.clone(),
                     entry: *entry,
-                    changed: next,
+                    changed_in: next,
                 });
                 members.insert(entry.peer_address, listed);
             }
         }
         for (address, _) in std::mem::replace(&mut self.members, members) {
-            self.gone.push_back((next, address));
+            self.removed.push_back((next, address));
             has_changed = true;
         }
-        while self.gone.len() > MAX_GONE {
-            self.forgotten = self.gone.pop_front().map_or(self.forgotten, |(version, _)| version);
+        while self.removed.len() > MAX_REMOVED {
+            self.dropped_up_to =
+                self.removed.pop_front().map_or(self.dropped_up_to, |(version, _)| version);
         }
         if has_changed {
             self.version = next;
         }
     }
 
-    /// What a node lacks that has a version of the list; none where that is the newest.
+    /// The update for a node that has version `known` of the list; `None` if that is the
+    /// current one.
     pub(super) fn update_since(&self, known: Option<u64>) -> Option<RosterUpdate> {
-        let since = known.filter(|known| *known >= self.forgotten && *known <= self.version);
-        if since == Some(self.version) {
+        let base_version =
+            known.filter(|known| *known >= self.dropped_up_to && *known <= self.version);
+        if base_version == Some(self.version) {
             return None;
         }
-        let after = since.unwrap_or_default();
+        let after = base_version.unwrap_or_default();
         let mut zones: BTreeMap<&str, Vec<MemberEntry>> = BTreeMap::new();
-        for listed in self.members.values().filter(|listed| listed.changed > after) {
+        for listed in self.members.values().filter(|listed| listed.changed_in > after) {
             zones.entry(&listed.zone).or_default().push(listed.entry);
         }
-        let gone = self.gone.iter().filter(|(version, address)| {
-            since.is_some() && *version > after && !self.members.contains_key(address)
+        let removed = self.removed.iter().filter(|(version, address)| {
+            base_version.is_some() && *version > after && !self.members.contains_key(address)
         });
         Some(RosterUpdate {
             version: self.version,
-            base_version: since,
+            base_version,
             updated: zones
                 .into_iter()
                 .map(|(zone, members)| ZoneMembers { zone: zone.to_owned(), members })
                 .collect(),
-            removed: gone.map(|(_, address)| *address).collect(),
+            removed: removed.map(|(_, address)| *address).collect(),
         })
     }
 }
--- a/crates/cometmoor-gateway/src/peer.rs
+++ b/crates/cometmoor-gateway/src/peer.rs
@@ -1,5 +1,5 @@
-//! What nodes ask of each other: copies of the store's items, for a node that
-//! the store turns away.
+//! HTTP requests between nodes, for a node that does not reach the store: copies of the store's
+//! items, and renewals of its lease through a node that the store answers.
 
 use std::io::{Read, Write};
 use std::net::SocketAddrV4;
@@ -14,29 +14,29 @@
 use crate::mirror::MirrorUpdate;
 use crate::store::StoreLease;
 
-/// Time for an answer.
-const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time for a renewal through a peer, before another one is asked.
+/// Timeout of a request for a copy.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout of a lease renewal through a peer, after which another peer is tried.
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Largest update, uncompressed.
+/// Maximum size of an update after decompression.
 const MAX_UPDATE_BYTES: u64 = 64 << 20;
-/// Path of the copies.
+/// Path prefix of requests for copies.
 const MIRROR_PATH: &str = "/peer/mirror/";
 
-/// Which of the store's prefixes.
+/// The prefixes of the store of which nodes keep copies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StorePrefix {
     /// The configuration.
     Configuration,
-    /// The servers.
+    /// The servers' entries.
     Servers,
 }
 
 impl StorePrefix {
-    /// Both.
+    /// All prefixes.
     pub const ALL: [StorePrefix; 2] = [StorePrefix::Configuration, StorePrefix::Servers];
 
-    /// Name in paths and log lines.
+    /// Name in paths, log lines and metrics.
     pub fn name(self) -> &'static str {
         match self {
             StorePrefix::Configuration => "configuration",
@@ -44,72 +44,75 @@
         }
     }
 
-    /// The subject of a peer's request, and the point that the peer's copy is of.
+    /// Parses the path of a peer's request for a copy into the prefix and the position of the
+    /// copy that the peer has; `None` if it is another path.
     pub fn from_mirror_path(path: &str) -> Option<(StorePrefix, StorePosition)> {
         let (name, after) = path.strip_prefix(MIRROR_PATH)?.split_once('/')?;
-        let subject = StorePrefix::ALL.into_iter().find(|subject| subject.name() == name)?;
-        Some((subject, after.parse().ok()?))
+        let prefix = StorePrefix::ALL.into_iter().find(|prefix| prefix.name() == name)?;
+        Some((prefix, after.parse().ok()?))
     }
 }
 
-/// Path of the renewals.
+/// Path prefix of lease renewals.
 const RENEWAL_PATH: &str = "/peer/renewal/";
 
-/// The lease that a peer asks to have renewed.
+/// Parses the path of a peer's request to renew a lease; `None` if it is another path.
 pub fn lease_from_renewal_path(path: &str) -> Option<StoreLease> {
     let (era, id) = path.strip_prefix(RENEWAL_PATH)?.split_once('/')?;
     Some(StoreLease { era: era.parse().ok()?, id: id.parse().ok()? })
 }
 
-/// Asks a peer to renew a lease at the store, which turns this node away.
-/// Tells whether the lease goes on.
+/// Renews a lease through a peer, because the store does not answer this node. Returns whether
+/// the lease still exists.
 pub async fn renew_via_peer(peer: SocketAddrV4, lease: StoreLease) -> Result<bool, PeerError> {
     let call = Call::new("GET", format!("{RENEWAL_PATH}{}/{}", lease.era, lease.id));
-    let renewal = CallClient::new(peer).call(&call, RENEWAL_TIMEOUT).await;
-    let answer = renewal.map_err(PeerError::Call)?;
-    match answer.head.status {
+    let result = CallClient::new(peer).call(&call, RENEWAL_TIMEOUT).await;
+    let response = result.map_err(PeerError::Call)?;
+    match response.head.status {
         200 => Ok(true),
         404 => Ok(false),
         _ => Err(PeerError::Format),
     }
 }
 
-/// Why a peer's copy could not be had.
+/// Why a request to a peer failed.
 #[derive(Debug)]
 pub enum PeerError {
-    /// There is no answer.
+    /// The peer did not answer.
     Call(CallError),
-    /// The answer is not a copy.
+    /// The answer has an unexpected status, or a body that cannot be decoded.
     Format,
 }
 
-/// Asks a peer for what its copy has beyond a point in the store's history.
+/// Fetches from a peer the changes in its copy of a prefix after a position in the store's
+/// history.
 pub async fn fetch_update(
     peer: SocketAddrV4,
-    subject: StorePrefix,
+    prefix: StorePrefix,
     after: StorePosition,
 ) -> Result<MirrorUpdate, PeerError> {
-    let call = Call::new("GET", format!("{MIRROR_PATH}{}/{after}", subject.name()));
-    let answer = CallClient::new(peer).call(&call, CALL_TIMEOUT).await.map_err(PeerError::Call)?;
-    if answer.head.status != 200 {
+    let call = Call::new("GET", format!("{MIRROR_PATH}{}/{after}", prefix.name()));
+    let response =
+        CallClient::new(peer).call(&call, FETCH_TIMEOUT).await.map_err(PeerError::Call)?;
+    if response.head.status != 200 {
         return Err(PeerError::Format);
     }
-    decode_update(&answer.body).ok_or(PeerError::Format)
+    decode_update(&response.body).ok_or(PeerError::Format)
 }
 
-/// What a copy lacks, as sent to a peer. Configurations compress to a tenth;
-/// many peers ask for one at the same moment, over links of 10 Mbit/s.
+/// Encodes and compresses an update for a peer. Configurations compress to a tenth of their
+/// size, which matters because many peers request one at the same time, over links of 10 Mbit/s.
 pub fn encode_update(update: &MirrorUpdate) -> Vec<u8> {
-    let plain = postcard::to_stdvec(update).unwrap_or_default();
+    let encoded = postcard::to_stdvec(update).unwrap_or_default();
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     // Writing to a vector does not fail.
-    let _ = encoder.write_all(&plain);
+    let _ = encoder.write_all(&encoded);
     encoder.finish().unwrap_or_default()
 }
 
-/// What a peer sent, if it is an update of a bearable size.
+/// Decodes a peer's update; `None` if it is malformed or larger than [`MAX_UPDATE_BYTES`].
 pub fn decode_update(bytes: &[u8]) -> Option<MirrorUpdate> {
-    let mut plain = Vec::new();
-    DeflateDecoder::new(bytes).take(MAX_UPDATE_BYTES).read_to_end(&mut plain).ok()?;
-    postcard::from_bytes(&plain).ok()
+    let mut encoded = Vec::new();
+    DeflateDecoder::new(bytes).take(MAX_UPDATE_BYTES).read_to_end(&mut encoded).ok()?;
+    postcard::from_bytes(&encoded).ok()
 }
--- a/crates/cometmoor-gateway/src/published.rs
+++ b/crates/cometmoor-gateway/src/published.rs
@@ -1,4 +1,4 @@
-//! What the control thread publishes to the others.
+//! State that the control thread publishes to the traffic threads.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddrV4;
@@ -17,137 +17,136 @@
 use crate::clock;
 use crate::load::{ModelKey, ServerKey, ServerLoad};
 
-/// Whether the node takes part.
+/// Phase of this node's process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
     /// It has no configuration yet.
     #[default]
     Starting,
-    /// It serves.
+    /// It accepts requests.
     Ready,
-    /// It is about to stop; clients should go elsewhere.
+    /// It is shutting down; clients should use other nodes.
     Draining,
-    /// It takes no new requests any more.
+    /// It no longer accepts requests.
     Closing,
 }
 
-/// When a planned stop began, and when the process ends at the latest.
+/// Times of a graceful shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownTimes {
-    /// When it began.
+    /// When it started.
     pub started: BootInstant,
-    /// When what is left is cut off.
+    /// When requests that are still running are aborted.
     pub deadline: BootInstant,
 }
 
-/// A node that clients may use.
+/// Client address of a node that accepts requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeEndpoint {
-    /// Where it takes requests.
+    /// Address for clients.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
 }
 
-/// State of the fleet, as this node believes it.
+/// State of the fleet as known to this node.
 #[derive(Clone, Debug, Default)]
 pub struct FleetSnapshot {
-    /// Rises with each publication.
+    /// Increases with each publication.
     pub generation: u64,
-    /// Whether the node takes part.
+    /// Phase of this node's process.
     pub phase: Phase,
-    /// Configuration in force.
+    /// Configuration in force; `None` until the node has one.
     pub configuration: Option<Arc<GatewayConfiguration>>,
-    /// The latest point at which the store is known to have held nothing newer than the
-    /// configuration in force.
+    /// The latest time at which the store is known to have held nothing newer than the
+    /// configuration in force; `None` if there is no proof.
     pub configuration_proven: Option<BootInstant>,
-    /// For how long it counts after that point.
+    /// How long such a proof is valid.
     pub proof_limits: ProofLimits,
     /// Whether a peer is known to have a newer configuration.
     pub is_known_behind: bool,
-    /// Entries of the registry that name no server to use.
+    /// Number of registry entries that describe no usable server.
     pub ignored_entries: usize,
     /// Servers in the registry.
     pub servers: Vec<Arc<ServerRecord>>,
-    /// Nodes that take requests, this one included.
+    /// Nodes that accept requests, including this one.
     pub nodes: Vec<NodeEndpoint>,
-    /// When the store or a peer last confirmed the configuration.
+    /// When the store or a peer last confirmed the configuration; `None` if never.
     pub configuration_confirmed: Option<BootInstant>,
-    /// When the store or a peer last confirmed the servers' entries.
+    /// When the store or a peer last confirmed the servers' entries; `None` if never.
     pub servers_confirmed: Option<BootInstant>,
-    /// Whether this node is among those that read the store themselves.
+    /// Whether this node is among those that read the servers' entries from the store.
     pub reads_store: bool,
-    /// Whether nodes hear of one another's load through hubs.
+    /// Whether nodes learn of each other's load through hubs.
     pub is_large_fleet: bool,
-    /// Whether this node orders the servers.
+    /// Whether this node is leader.
     pub leads: bool,
-    /// When the leading node was last heard.
+    /// When the leader was last heard; `None` if never, or after it has stepped down.
     pub leader_heard: Option<BootInstant>,
-    /// Set while the node is about to stop.
+    /// Times of the shutdown; `None` until it starts.
     pub shutdown: Option<ShutdownTimes>,
-    /// Most nodes that were seen lately, for shares of a common budget.
+    /// Number of nodes that were seen recently, including this one, among which budgets are
+    /// shared.
     pub recent_nodes: usize,
-    /// Nodes that are there now, this one included.
+    /// Number of nodes that are alive now, including this one.
     pub live_nodes: usize,
 }
 
 impl FleetSnapshot {
-    /// Time since the configuration was shown to be the store's newest.
+    /// Time since the configuration was last proven to be the store's newest; `None` if never.
     pub fn proof_age(&self) -> Option<Duration> {
         self.configuration_proven.map(clock::elapsed)
     }
 
-    /// Whether the configuration is the store's newest, so that what it lacks does not
-    /// exist.
+    /// Whether the configuration is recent enough to conclude that what it lacks does not exist.
     pub fn configuration_is_current(&self) -> bool {
         !self.is_known_behind && self.proof_limits.proves_absence(self.proof_age())
     }
 
-    /// What the configuration's keys are good for now.
+    /// Whether the configuration's keys may be used now to admit and to deny requests.
     pub fn key_freshness(&self) -> KeyFreshness {
         let knowledge = self.proof_limits.key_freshness(self.proof_age());
         KeyFreshness { denies: knowledge.denies && !self.is_known_behind, ..knowledge }
     }
 
-    /// Name of a server's incarnation, where it is in the registry.
+    /// Name of a server's incarnation; `None` if it is not in the registry.
     pub fn incarnation(&self, hash: IncarnationHash) -> Option<Arc<str>> {
         let mut servers = self.servers.iter();
         let server = servers.find(|server| IncarnationHash::of(&server.incarnation) == hash);
         server.map(|server| server.incarnation.clone())
     }
 
-    /// Milliseconds since the servers' entries were last confirmed; -1 where
-    /// they never were.
+    /// Milliseconds since the servers' entries were last confirmed; -1 if they never were.
     pub fn servers_age_millis(&self) -> i64 {
         age_millis(self.servers_confirmed)
     }
 }
 
-/// Milliseconds since then, for log lines; -1 for never.
+/// Milliseconds since a point in time, for log lines; -1 for `None`.
 pub fn age_millis(since: Option<BootInstant>) -> i64 {
     since.map_or(-1, |at| i64::try_from(clock::elapsed(at).as_millis()).unwrap_or(i64::MAX))
 }
 
-/// What the leading node told of the servers' models, ahead of the registry.
+/// Changes to the placement of models that the leader announced ahead of the registry.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementView {
-    /// Fencing token of the term that it is from.
+    /// Fencing token of the leader's term.
     pub token: u64,
-    /// Adapters that servers have got.
+    /// Models and adapters that servers have loaded.
     pub added: HashSet<(ServerKey, ModelKey)>,
-    /// Models and adapters that are about to be taken away.
+    /// Models and adapters that servers are about to unload.
     pub withdrawn: HashSet<(ServerKey, ModelKey)>,
 }
 
-/// The newest state of the fleet, and the load that other nodes put on it.
+/// The state that threads share: the latest state of the fleet and the load from other nodes.
 #[derive(Debug, Default)]
 pub struct Board {
-    /// State of the fleet.
+    /// Latest state of the fleet.
     pub fleet: ArcSwap<FleetSnapshot>,
-    /// Load of the other nodes by server.
+    /// Load from the other nodes, by server.
     pub remote_load: ArcSwap<HashMap<ServerKey, ServerLoad>>,
-    /// What the leading node told.
+    /// The leader's latest announcement.
     pub placement: ArcSwap<PlacementView>,
-    /// Asks for a heartbeat before it is due.
+    /// Requests a heartbeat before it is due.
     pub heartbeat_wanted: Notify,
 }
