--- a/crates/cometmoor-gateway/src/membership/hub_state.rs
+++ b/crates/cometmoor-gateway/src/membership/hub_state.rs
@@ -110,8 +110,11 @@
     ) {
         let sent_roster =
             self.subscribers.get(&address).and_then(|subscriber| subscriber.sent_roster);
-        let subscriber = Subscriber { requested_at: now, request, sent_roster };
-        if self.subscribers.insert(address, subscriber).is_none() {
+        if self
+            .subscribers
+            .insert(address, Subscriber { requested_at: now, request, sent_roster })
+            .is_none()
+        {
             self.new_subscribers.insert(address);
         }
     }
--- a/crates/cometmoor-gateway/src/membership/leader_announcement.rs
+++ b/crates/cometmoor-gateway/src/membership/leader_announcement.rs
@@ -11,7 +11,7 @@
 /// two hubs, each of which relays it after at most 0.42 s. The age is counted from the leader's
 /// own message: if each node counted from the time at which it was relayed, hubs would keep the
 /// announcement of a dead leader alive among themselves forever.
-const ANNOUNCEMENT_LIFETIME: Duration = Duration::from_millis(2500);
+const MAX_AGE: Duration = Duration::from_millis(2500);
 /// Interval at which digests include an unchanged placement in full, for nodes that lost the
 /// previous one.
 const FULL_PLACEMENT_INTERVAL: Duration = Duration::from_millis(600);
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 struct Announcement {
     placement: Placement,
-    sent_at: Timestamp,
+    sent: Timestamp,
 }
 
 /// The leader's latest announcement, as far as this node knows.
@@ -42,7 +42,7 @@
         match (placement, &self.latest) {
             (Some(placement), _) => {
                 self.stepped_down = self.stepped_down.filter(|(leader, _)| *leader != node);
-                self.accept(Announcement { placement: placement.clone(), sent_at: now });
+                self.accept(Announcement { placement: placement.clone(), sent: now });
             }
             (None, Some(latest)) if latest.placement.leader == node => {
                 self.stepped_down = Some((node, latest.placement.version()));
@@ -55,19 +55,19 @@
     /// Handles an announcement that a hub relays.
     pub(super) fn receive_relayed(&mut self, relayed: &RelayedPlacement, now: Timestamp) {
         let age = Duration::from_millis(relayed.age_millis.into());
-        let sent_at = Timestamp(now.0.saturating_sub(u64::from(relayed.age_millis)));
-        if age > ANNOUNCEMENT_LIFETIME || self.has_stepped_down(relayed) {
+        let sent = Timestamp(now.0.saturating_sub(u64::from(relayed.age_millis)));
+        if age > MAX_AGE || self.has_stepped_down(relayed) {
             return;
         }
         if let Some(placement) = &relayed.placement {
-            return self.accept(Announcement { placement: placement.clone(), sent_at });
+            return self.accept(Announcement { placement: placement.clone(), sent });
         }
         // Changes to the placement since then arrive with another digest.
         if let Some(latest) = &mut self.latest
             && latest.placement.leader == relayed.leader
             && latest.placement.token == relayed.version.token
         {
-            latest.sent_at = latest.sent_at.max(sent_at);
+            latest.sent = latest.sent.max(sent);
         }
     }
 
@@ -76,38 +76,29 @@
             .is_some_and(|(leader, version)| leader == relayed.leader && relayed.version <= version)
     }
 
-    fn accept(&mut self, received: Announcement) {
+    fn accept(&mut self, new: Announcement) {
         let Some(latest) = &mut self.latest else {
-            self.latest = Some(received);
+            self.latest = Some(new);
             return;
         };
-        let (known, version) = (latest.placement.version(), received.placement.version());
-        match known == version && latest.placement.leader == received.placement.leader {
-            true => latest.sent_at = latest.sent_at.max(received.sent_at),
-            false
-                if version > known
-                    || received.sent_at.since(latest.sent_at) > ANNOUNCEMENT_LIFETIME =>
-            {
-                *latest = received;
-            }
+        let (known, version) = (latest.placement.version(), new.placement.version());
+        match known == version && latest.placement.leader == new.placement.leader {
+            true => latest.sent = latest.sent.max(new.sent),
+            false if version > known || new.sent.since(latest.sent) > MAX_AGE => *latest = new,
             false => {}
         }
     }
 
     /// Drops an announcement that has expired.
     pub(super) fn expire(&mut self, now: Timestamp) {
-        self.latest =
-            self.latest.take().filter(|latest| now.since(latest.sent_at) <= ANNOUNCEMENT_LIFETIME);
+        self.latest = self.latest.take().filter(|latest| now.since(latest.sent) <= MAX_AGE);
     }
 
     /// The leader's placement and when the leader sent it; `None` if there is none that is
     /// recent enough.
     pub(super) fn latest(&self, now: Timestamp) -> Option<(&Placement, Timestamp)> {
-        let latest = self
-            .latest
-            .as_ref()
-            .filter(|latest| now.since(latest.sent_at) <= ANNOUNCEMENT_LIFETIME)?;
-        Some((&latest.placement, latest.sent_at))
+        let latest = self.latest.as_ref().filter(|latest| now.since(latest.sent) <= MAX_AGE)?;
+        Some((&latest.placement, latest.sent))
     }
 }
 
--- a/crates/cometmoor-gateway/tests/membership.rs
+++ b/crates/cometmoor-gateway/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Fleets in virtual time: nodes find one another, notice who is gone, and tell
-//! one another of their load, also when datagrams are lost and hubs die.
+//! Membership in simulated fleets: nodes discover each other, detect dead nodes and report their
+//! load, even if datagrams are lost and hubs die.
 
 mod world;
 
@@ -12,7 +12,7 @@
 use world::{Node, SHARED_SERVER, World, address, zone_of};
 
 #[test]
-fn nodes_of_small_and_large_fleets_find_one_another() {
+fn nodes_discover_each_other_in_small_and_large_fleets() {
     for (count, seed) in [(2, 1), (9, 2), (16, 3), (17, 4), (40, 5), (130, 6)] {
         let mut world = World::new(seed);
         world.start(0..count);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn nodes_that_die_are_dropped_and_others_take_over_their_part() {
+fn dead_nodes_are_dropped_and_their_roles_taken_over() {
     for seed in 1..=8 {
         let mut world = World::new(seed * 7919);
         world.start(0..60);
@@ -38,26 +38,26 @@
 }
 
 #[test]
-fn a_fleet_that_was_cut_in_two_for_a_minute_becomes_one_again() {
+fn fleet_reunites_after_a_partition_of_one_minute() {
     let mut world = World::new(11);
     world.start(0..45);
     world.run(8);
     world.isolated_zone = Some(1);
     world.run(60);
-    let near = world.nodes.iter().find(|(own, _)| zone_of(**own) == 1).unwrap().1;
-    assert_eq!(near.membership.members().len(), 14, "only its own zone");
+    let isolated = world.nodes.iter().find(|(own, _)| zone_of(**own) == 1).unwrap().1;
+    assert_eq!(isolated.membership.members().len(), 14, "only its own zone");
     world.isolated_zone = None;
     assert_eq!(world.unconverged_after(12), Vec::<String>::new());
 }
 
-/// Nodes that do not reckon with one request of each other node, or that do not
-/// know the leader.
+/// Nodes whose view of the load is not one request of each other node, or that do not know the
+/// leader.
 fn nodes_with_wrong_load(world: &World) -> Vec<String> {
     let now = Timestamp(world.now);
     let others = world.nodes.len() as u32 - 1;
-    let told = [(SHARED_SERVER, ServerLoad { in_flight: 1, pending: PendingWork::default() })];
+    let reported = [(SHARED_SERVER, ServerLoad { in_flight: 1, pending: PendingWork::default() })];
     let check = |(own, node): (&SocketAddrV4, &Node)| {
-        let load: HashMap<u32, ServerLoad> = node.membership.remote_load(&told, now);
+        let load: HashMap<u32, ServerLoad> = node.membership.remote_load(&reported, now);
         let in_flight = load.get(&SHARED_SERVER).map_or(0, |load| load.in_flight);
         let leader = node.membership.placement(now).map(|(placement, _)| placement.leader);
         let knows_leader = Some(*own) == world.leader || leader == world.leader;
@@ -67,13 +67,13 @@
 }
 
 #[test]
-fn nodes_know_the_load_of_all_others_and_what_the_leader_tells() {
+fn all_nodes_learn_the_load_of_the_others_and_the_leader() {
     for (count, omits_alternate_loads) in [(8, false), (60, false), (60, true)] {
         let mut world = World::new(3);
         world.omits_alternate_loads = omits_alternate_loads;
         world.start(0..count);
         world.leader = Some(address(5));
-        // As with who is there, a moment is waited for in which no loss shows.
+        // As for member lists, one moment without the effect of a lost datagram is enough.
         let is_wrong = |world: &World| !nodes_with_wrong_load(world).is_empty();
         while world.now < 12_000 && is_wrong(&world) {
             world.step();
@@ -82,10 +82,11 @@
     }
 }
 
-/// Hubs pass on what other hubs told: a change within the leader's term has to
-/// replace what was told before at every node, and at once.
+/// Hubs relay what other hubs sent, so an older placement could arrive after a newer one. A
+/// change within the leader's term has to replace the previous placement at every node within
+/// two seconds.
 #[test]
-fn a_change_that_the_leader_tells_replaces_what_hubs_told_before() {
+fn new_placement_replaces_the_previous_one_at_all_nodes() {
     for seed in 1..=4 {
         let mut world = World::new(seed);
         world.start(0..60);
@@ -95,18 +96,19 @@
             world.placement_sequence = placement;
             world.run(2);
             let now = Timestamp(world.now);
-            let heard = |node: &Node| node.membership.placement(now).map(|(told, _)| told.sequence);
+            let known =
+                |node: &Node| node.membership.placement(now).map(|(known, _)| known.sequence);
             let others = world.nodes.iter().filter(|(own, _)| **own != address(0));
-            let late = others.filter(|(_, node)| heard(node) != Some(placement)).count();
-            assert_eq!(late, 0, "seed {seed}: nodes that go by placement {placement}'s forerunner");
+            let late = others.filter(|(_, node)| known(node) != Some(placement)).count();
+            assert_eq!(late, 0, "seed {seed}: nodes that do not have placement {placement}");
         }
     }
 }
 
-/// Hubs pass the leader's word on to one another: once it has died, none may keep it
-/// alive for the others, or nobody takes its place.
+/// Hubs relay the leader's announcement to each other. If that kept the announcement of a dead
+/// leader alive, no other node would become leader.
 #[test]
-fn the_word_of_a_leader_that_died_is_forgotten() {
+fn announcement_of_a_dead_leader_expires() {
     for (seed, count) in [(1, 8), (2, 60), (3, 120)] {
         let mut world = World::new(seed);
         world.start(0..count);
@@ -115,14 +117,14 @@
         world.nodes.remove(&address(0));
         world.run(8);
         let now = Timestamp(world.now);
-        let believing =
+        let remaining =
             world.nodes.values().filter(|node| node.membership.placement(now).is_some()).count();
-        assert_eq!(believing, 0, "of {count} nodes, eight seconds later");
+        assert_eq!(remaining, 0, "of {count} nodes, eight seconds later");
     }
 }
 
 #[test]
-fn readers_of_the_store_are_the_same_few_for_all_nodes() {
+fn nodes_agree_on_the_readers_of_the_store() {
     let mut world = World::new(5);
     world.start(0..60);
     world.run(8);
@@ -131,8 +133,8 @@
 }
 
 #[test]
-fn messages_for_a_node_do_not_grow_with_the_fleet() {
-    let mut most = Vec::new();
+fn messages_per_node_do_not_grow_with_the_fleet() {
+    let mut medians = Vec::new();
     for count in [60, 240] {
         let mut world = World::new(9);
         world.start(0..count);
@@ -141,10 +143,9 @@
         world.run(10);
         let mut received: Vec<u64> = world.nodes.values().map(|node| node.received).collect();
         received.sort_unstable();
-        most.push(received[count / 2]);
+        medians.push(received[count / 2]);
     }
-    // A node gets what the two hubs send that it asks: some 25 digests each in ten
-    // seconds.
-    assert!(most.iter().all(|received| *received <= 52), "{most:?} in ten seconds");
-    assert!(most[1] <= most[0] + 2, "{most:?} in ten seconds");
+    // A node receives about 25 digests in ten seconds from each of its two upstream hubs.
+    assert!(medians.iter().all(|received| *received <= 52), "{medians:?} in ten seconds");
+    assert!(medians[1] <= medians[0] + 2, "{medians:?} in ten seconds");
 }
--- a/crates/cometmoor-gateway/tests/world/mod.rs
+++ b/crates/cometmoor-gateway/tests/world/mod.rs
@@ -1,6 +1,7 @@
-//! A fleet of nodes in virtual time, whose datagrams may be lost or find a link full.
+//! Simulation of a fleet of nodes in virtual time. Datagrams are lost at random, or because the
+//! queue of a link is full.
 
-#![allow(dead_code, reason = "each test file uses its part of the world")]
+#![allow(dead_code, reason = "each test file uses only a part of the simulation")]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -14,45 +15,46 @@
     CopyVersions, Heartbeat, Member, Membership, Message, PeerChange, PeerPhase, Placement,
 };
 
-/// Time for which machines run when the world begins.
-const BOOTED_BEFORE: Duration = Duration::from_secs(1000);
-/// Time between two turns of the world, in milliseconds.
+/// Uptime of the machines when the simulation starts.
+const UPTIME_AT_START: Duration = Duration::from_secs(1000);
+/// Length of a step of the simulation, in milliseconds.
 pub const STEP_MILLIS: u64 = 50;
-/// Turns between two heartbeats of a node; in the largest fleets, whose pauses are long.
-const TURNS_OF_SMALL_FLEET: u64 = 4;
-const TURNS_OF_LARGE_FLEET: u64 = 8;
-/// Turns between two ticks of a node.
-const TURNS_OF_TICK: u64 = 5;
-/// Zones of a small world.
+/// Steps between two heartbeats of a node in a small fleet.
+const SMALL_FLEET_HEARTBEAT_STEPS: u64 = 4;
+/// The same in the largest fleets, which have the longest intervals.
+const LARGE_FLEET_HEARTBEAT_STEPS: u64 = 8;
+/// Steps between two ticks of a node.
+const TICK_STEPS: u64 = 5;
+/// Default number of zones.
 const ZONES: usize = 3;
-/// Of a thousand datagrams, how many are lost.
-const LOST: u64 = 50;
-/// Most servers that a node puts load on.
-const LOADED: u32 = 5;
-/// The one server that all nodes put load on.
+/// Number of datagrams in a thousand that are lost.
+const LOSS_PER_MILLE: u64 = 50;
+/// Maximum number of servers on which a node has load.
+const MAX_LOADED_SERVERS: u32 = 5;
+/// The server on which all nodes have load if there is only one.
 pub const SHARED_SERVER: u32 = 7;
 
-/// A node.
+/// A simulated node.
 pub struct Node {
     pub membership: Membership,
-    /// What it knows of requests that end servers.
+    /// Its records of requests that crash servers.
     pub quarantine: Quarantine,
-    /// What it knows of servers by what they report of themselves.
+    /// Its records of the state that servers report about themselves.
     pub signals: SignalTable,
     sequence: u64,
     incarnation: u64,
     load: u32,
-    /// Datagrams that it got.
+    /// Number of datagrams that it has received.
     pub received: u64,
-    /// Bytes that wait at its link.
+    /// Bytes queued at its link.
     backlog: usize,
-    /// Bytes that it has sent.
+    /// Number of bytes that it has sent.
     pub sent: usize,
 }
 
 impl Node {
-    /// A node that has come lacks what was reported before.
-    fn note_change(&mut self, change: PeerChange) {
+    /// Repeats earlier reports for a node that is new.
+    fn handle_change(&mut self, change: PeerChange) {
         if change != PeerChange::None {
             self.quarantine.report_again();
             self.signals.report_again();
@@ -60,38 +62,39 @@
     }
 }
 
-/// What a node's link carries.
+/// Capacity of a node's link.
 #[derive(Clone, Copy)]
 pub struct Link {
-    /// Bytes in a turn.
+    /// Bytes that are transmitted in a step.
     pub bytes_per_step: usize,
-    /// Bytes that wait at most; what comes beyond is lost.
+    /// Maximum number of queued bytes; datagrams beyond are lost.
     pub queue_bytes: usize,
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub struct World {
-    /// Milliseconds since it began.
+    /// Milliseconds since the simulation started.
     pub now: u64,
     pub nodes: BTreeMap<SocketAddrV4, Node>,
     pub leader: Option<SocketAddrV4>,
-    /// Zones over which the nodes are spread.
+    /// Number of zones over which the nodes are distributed.
     pub zones: usize,
-    /// Servers in the fleet; each node puts load on a few of them.
+    /// Number of servers in the fleet; each node has load on a few of them.
     pub servers: u32,
-    /// Turns between two heartbeats of a node in a large fleet.
+    /// Steps between two heartbeats of a node in a large fleet.
     pub large_fleet_heartbeat_steps: u64,
-    /// The nodes' links; without, all is carried.
+    /// Capacity of each node's link; `None` for no limit.
     pub link: Option<Link>,
-    /// Whether every second heartbeat leaves the load out, as early ones do.
+    /// Whether every second heartbeat omits the load, as heartbeats do that are sent early.
     pub omits_alternate_loads: bool,
+    /// Sequence number of the leader's placement.
     pub placement_sequence: u64,
-    /// Zone whose nodes are cut off from all others.
+    /// Zone whose nodes are partitioned from all others.
     pub isolated_zone: Option<usize>,
     random: u64,
 }
 
-/// Address of a node of a world of three zones.
+/// Address of a node in a fleet with the default number of zones.
 pub fn address(index: usize) -> SocketAddrV4 {
     address_in(index, ZONES)
 }
@@ -101,12 +104,12 @@
     SocketAddrV4::new(Ipv4Addr::new(10, (index % zones) as u8, high, low), 7000)
 }
 
-/// A point of the world's time on the machines' clock.
+/// A point in simulated time, on the clock of the machines.
 pub fn since_boot(now: Timestamp) -> BootInstant {
-    BootInstant::after_boot(BOOTED_BEFORE + Duration::from_millis(now.0))
+    BootInstant::after_boot(UPTIME_AT_START + Duration::from_millis(now.0))
 }
 
-/// Zone of a node.
+/// Zone of the node with this address.
 pub fn zone_of(address: SocketAddrV4) -> usize {
     usize::from(address.ip().octets()[1])
 }
@@ -120,7 +123,7 @@
             leader: None,
             zones: ZONES,
             servers: 1,
-            large_fleet_heartbeat_steps: TURNS_OF_LARGE_FLEET,
+            large_fleet_heartbeat_steps: LARGE_FLEET_HEARTBEAT_STEPS,
             link: None,
             omits_alternate_loads: false,
             placement_sequence: 1,
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Starts nodes that know a few of the others, by their seeds or the store.
+    /// Starts nodes with a few other nodes as contacts, as from their seeds or the store.
     pub fn start(&mut self, indexes: std::ops::Range<usize>) {
         let mut contacts: Vec<SocketAddrV4> = self.nodes.keys().copied().take(ZONES).collect();
         contacts.extend((0..ZONES).map(|index| address_in(index, self.zones)));
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Next number below a bound, by SplitMix64.
+    /// Next random number below a bound (SplitMix64).
     pub fn random_below(&mut self, below: u64) -> u64 {
         self.random = self.random.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.random ^ (self.random >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -166,11 +169,11 @@
         let (leads, servers) = (self.leader == Some(own), self.servers);
         let node = self.nodes.get_mut(&own).unwrap();
         node.sequence += 1;
-        let tells_load = !self.omits_alternate_loads || node.sequence.is_multiple_of(2);
+        let includes_load = !self.omits_alternate_loads || node.sequence.is_multiple_of(2);
         let load = ServerLoad { in_flight: node.load, pending: PendingWork::default() };
         let first = u32::from(u16::from_be_bytes([own.ip().octets()[2], own.ip().octets()[3]]));
-        let loaded =
-            (0..servers.min(LOADED)).map(|place| SHARED_SERVER + (first + place) % servers);
+        let loaded = (0..servers.min(MAX_LOADED_SERVERS))
+            .map(|offset| SHARED_SERVER + (first + offset) % servers);
         let loads = loaded.map(|server| (server, load)).collect();
         Heartbeat {
             node: own.to_string(),
@@ -183,7 +186,7 @@
             versions: CopyVersions::default(),
             reads_store: node.membership.is_reader(3),
             store_fails: false,
-            loads: tells_load.then_some(loads),
+            loads: includes_load.then_some(loads),
             demand: Vec::new(),
             awaited_models: Vec::new(),
             suspects: node.quarantine.next_reports(now),
@@ -206,20 +209,20 @@
             let nodes = self.nodes.values_mut();
             nodes.for_each(|node| node.backlog = node.backlog.saturating_sub(link.bytes_per_step));
         }
-        let turn = self.now / STEP_MILLIS;
+        let step = self.now / STEP_MILLIS;
         let now = Timestamp(self.now);
         let addresses: Vec<SocketAddrV4> = self.nodes.keys().copied().collect();
         for (index, own) in addresses.into_iter().enumerate() {
             let membership = &mut self.nodes.get_mut(&own).unwrap().membership;
-            if (turn + index as u64).is_multiple_of(TURNS_OF_TICK) {
+            if (step + index as u64).is_multiple_of(TICK_STEPS) {
                 membership.tick(now);
             }
-            let turns = if membership.is_small_fleet() {
-                TURNS_OF_SMALL_FLEET
+            let heartbeat_steps = if membership.is_small_fleet() {
+                SMALL_FLEET_HEARTBEAT_STEPS
             } else {
                 self.large_fleet_heartbeat_steps
             };
-            if (turn + index as u64).is_multiple_of(turns) {
+            if (step + index as u64).is_multiple_of(heartbeat_steps) {
                 self.send(own, now);
             }
         }
@@ -232,16 +235,16 @@
         for outgoing in outgoing {
             let bytes = outgoing.message.encode();
             for target in outgoing.targets {
-                assert_ne!(target, own, "a node tells itself");
-                if self.takes_link(own, bytes.len()) && self.random_below(1000) >= LOST {
+                assert_ne!(target, own, "a node sends a message to itself");
+                if self.enqueue(own, bytes.len()) && self.random_below(1000) >= LOSS_PER_MILLE {
                     self.deliver(own, target, &bytes, now);
                 }
             }
         }
     }
 
-    /// Whether a node's link has room for a datagram; takes it then.
-    fn takes_link(&mut self, own: SocketAddrV4, length: usize) -> bool {
+    /// Queues a datagram at a node's link and returns true, or false if the queue is full.
+    fn enqueue(&mut self, own: SocketAddrV4, length: usize) -> bool {
         let node = self.nodes.get_mut(&own).unwrap();
         node.sent += length;
         let Some(link) = self.link else { return true };
@@ -253,8 +256,8 @@
     }
 
     fn deliver(&mut self, from: SocketAddrV4, to: SocketAddrV4, bytes: &[u8], now: Timestamp) {
-        let is_cut = |zone: usize| (zone_of(from) == zone) != (zone_of(to) == zone);
-        if self.isolated_zone.is_some_and(is_cut) {
+        let is_separated = |zone: usize| (zone_of(from) == zone) != (zone_of(to) == zone);
+        if self.isolated_zone.is_some_and(is_separated) {
             return;
         }
         let Some(node) = self.nodes.get_mut(&to) else { return };
@@ -264,13 +267,13 @@
                 node.quarantine.merge(&heartbeat.suspects, now);
                 node.signals.merge(&heartbeat.signals, since_boot(now));
                 let change = node.membership.receive_heartbeat(heartbeat, now);
-                node.note_change(change);
+                node.handle_change(change);
             }
-            Message::HeartbeatToHub(heartbeat, question) => {
+            Message::HeartbeatToHub(heartbeat, request) => {
                 node.quarantine.merge(&heartbeat.suspects, now);
                 node.signals.merge(&heartbeat.signals, since_boot(now));
-                let change = node.membership.receive_digest_request(heartbeat, question, now);
-                node.note_change(change);
+                let change = node.membership.receive_digest_request(heartbeat, request, now);
+                node.handle_change(change);
             }
             Message::ZoneDigest(digest) => {
                 node.quarantine.merge(&digest.suspects, now);
@@ -282,36 +285,36 @@
                 node.signals.merge(&digest.signals, since_boot(now));
                 node.membership.receive_fleet_digest(digest, now);
             }
-            // Proofs are no part of membership.
+            // Proofs are not part of membership.
             Message::ProofRequest(_) | Message::ProofAnswer(_) => {}
         }
     }
 
-    /// Lets time pass.
+    /// Runs the simulation for a time.
     pub fn run(&mut self, seconds: u64) {
         for _ in 0..seconds * 1000 / STEP_MILLIS {
             self.step();
         }
     }
 
-    /// Runs until all nodes know just the others, and tells who does not within
-    /// the time. A node of which three heartbeats in a row were lost is taken for
-    /// gone for a moment, so that it need not hold at a certain one.
+    /// Runs until all nodes know exactly the others, and returns the nodes for which that is not
+    /// so after the given time. The lists need to be exact at one moment only, because a node
+    /// is briefly considered dead after three of its heartbeats in a row were lost.
     pub fn unconverged_after(&mut self, seconds: u64) -> Vec<String> {
         let end = self.now + seconds * 1000;
         loop {
-            let misinformed = self.unconverged();
-            if misinformed.is_empty() || self.now >= end {
-                return misinformed;
+            let unconverged = self.unconverged();
+            if unconverged.is_empty() || self.now >= end {
+                return unconverged;
             }
             self.step();
         }
     }
 
-    /// Nodes that do not know just the others that are there.
+    /// Nodes whose member list is not exactly the other nodes.
     fn unconverged(&self) -> Vec<String> {
         let all: BTreeSet<SocketAddrV4> = self.nodes.keys().copied().collect();
-        let told = self.nodes.iter().filter_map(|(own, node)| {
+        let unconverged = self.nodes.iter().filter_map(|(own, node)| {
             let known: BTreeSet<SocketAddrV4> =
                 node.membership.members().iter().map(Member::address).collect();
             let mut others = all.clone();
@@ -320,6 +323,6 @@
             let extra: Vec<&SocketAddrV4> = known.difference(&others).collect();
             (known != others).then(|| format!("{own}: {missing:?} missing, {extra:?} extra"))
         });
-        told.collect()
+        unconverged.collect()
     }
 }
