--- a/crates/cometmoor-gateway/src/forward/permit.rs
+++ b/crates/cometmoor-gateway/src/forward/permit.rs
@@ -15,7 +15,7 @@
 use super::ForwardedRequest;
 use crate::clock;
 use crate::metrics::StateLabels;
-use crate::quota::QuotaDesk;
+use crate::quota::QuotaLimiter;
 use crate::servers::Server;
 
 /// Longest wait for the decision on a server's limit; another server is tried then. Most
@@ -26,7 +26,7 @@
 
 /// Allows one request to be sent to a server. What is not used goes back.
 pub(super) struct SendPermit {
-    desk: Rc<QuotaDesk>,
+    desk: Rc<QuotaLimiter>,
     /// The server, where it has a limit.
     limited: Option<IncarnationHash>,
     /// Whether the request may have reached the server.
@@ -43,7 +43,7 @@
 impl Drop for SendPermit {
     fn drop(&mut self) {
         if let Some(server) = self.limited.filter(|_| !self.is_sent.get()) {
-            self.desk.give_send_back(server);
+            self.desk.refund_send(server);
         }
     }
 }
--- a/crates/cometmoor-gateway/src/forward/tenant.rs
+++ b/crates/cometmoor-gateway/src/forward/tenant.rs
@@ -75,7 +75,7 @@
         if self.attempts.get().is_known_not_run()
             && let Some(tenant) = self.charged.take()
         {
-            self.traffic.quota.give_back(&tenant, self.facts.tokens());
+            self.traffic.quota.refund(&tenant, self.facts.tokens());
         }
     }
 
--- a/crates/cometmoor-gateway/src/forward/traffic.rs
+++ b/crates/cometmoor-gateway/src/forward/traffic.rs
@@ -15,7 +15,7 @@
 use crate::pace::{FEW_RUNNING, PaceTable};
 use crate::published::Board;
 use crate::quarantine::QuarantineBoard;
-use crate::quota::QuotaDesk;
+use crate::quota::QuotaLimiter;
 use crate::servers::ServerTable;
 use crate::settings::GatewaySettings;
 use crate::signals::SignalBoard;
@@ -35,7 +35,7 @@
     /// What servers report of themselves.
     pub signals: SignalBoard,
     /// Tenants' limits.
-    pub quota: Rc<QuotaDesk>,
+    pub quota: Rc<QuotaLimiter>,
     /// The servers.
     pub servers: RefCell<ServerTable>,
     pub(super) started: BootInstant,
@@ -56,7 +56,7 @@
         loads: LoadBoard,
         quarantine: QuarantineBoard,
         signals: SignalBoard,
-        quota: Rc<QuotaDesk>,
+        quota: Rc<QuotaLimiter>,
         metrics: Arc<Metrics>,
     ) -> TrafficContext {
         TrafficContext {
--- a/crates/cometmoor-gateway/src/node.rs
+++ b/crates/cometmoor-gateway/src/node.rs
@@ -28,7 +28,7 @@
 use crate::peer::{StorePrefix, lease_from_renewal_path};
 use crate::published::{Board, Phase, ShutdownTimes};
 use crate::quarantine::QuarantineBoard;
-use crate::quota::QuotaDesk;
+use crate::quota::QuotaLimiter;
 use crate::ready::{SmallAnswer, serve as serve_small};
 use crate::settings::{GatewaySettings, SettingsError};
 use crate::signals::SignalBoard;
@@ -188,7 +188,7 @@
                 return;
             }
         };
-        let quota = match QuotaDesk::start(&settings, board.clone(), signals.clone(), metrics.clone()) {
+        let quota = match QuotaLimiter::start(&settings, board.clone(), signals.clone(), metrics.clone()) {
             Ok(quota) => quota,
             Err(source) => {
                 let address = settings.quota_address.to_string();
--- a/crates/cometmoor-gateway/src/quota.rs
+++ b/crates/cometmoor-gateway/src/quota.rs
@@ -76,7 +76,7 @@
 }
 
 /// The limits as the requests of this node see them.
-pub struct QuotaDesk {
+pub struct QuotaLimiter {
     socket: UdpSocket,
     board: Arc<Board>,
     signals: SignalBoard,
@@ -88,20 +88,20 @@
     changed: Notify,
 }
 
-impl QuotaDesk {
+impl QuotaLimiter {
     /// Opens the socket and begins to take messages.
     pub fn start(
         settings: &GatewaySettings,
         board: Arc<Board>,
         signals: SignalBoard,
         metrics: Arc<Metrics>,
-    ) -> io::Result<Rc<QuotaDesk>> {
+    ) -> io::Result<Rc<QuotaLimiter>> {
         let own = settings.quota_address;
         let socket = std::net::UdpSocket::bind(SocketAddr::V4(own))?;
         socket.set_nonblocking(true)?;
         let seeds = settings.seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), own.port()));
         let seeds: Vec<SocketAddrV4> = seeds.collect();
-        let desk = Rc::new(QuotaDesk {
+        let desk = Rc::new(QuotaLimiter {
             socket: UdpSocket::from_std(socket)?,
             board,
             signals,
@@ -127,7 +127,7 @@
     }
 
     /// Gives the tokens of a request back that no server has run.
-    pub fn give_back(&self, tenant: &Tenant, tokens: Option<u64>) {
+    pub fn refund(&self, tenant: &Tenant, tokens: Option<u64>) {
         let Some(limit) = tenant.limit else { return };
         let key = QuotaKey::of(&tenant.name);
         let cost = limit.unit.cost(tokens) as f64;
@@ -140,7 +140,7 @@
     }
 
     /// Gives the allowance for a request back that did not reach its server.
-    pub fn give_send_back(&self, server: IncarnationHash) {
+    pub fn refund_send(&self, server: IncarnationHash) {
         self.return_tokens(Holder::Servers, server.into(), 1.0);
     }
 
@@ -233,7 +233,7 @@
         ask
     }
 
-    async fn receive(self: Rc<QuotaDesk>) {
+    async fn receive(self: Rc<QuotaLimiter>) {
         let mut buffer = vec![0; MAX_BYTES];
         loop {
             // An error tells of an earlier datagram that found nobody.
@@ -260,7 +260,7 @@
         }
     }
 
-    async fn tick(self: Rc<QuotaDesk>) {
+    async fn tick(self: Rc<QuotaLimiter>) {
         loop {
             self.take_nodes();
             for holder in [Holder::Tenants, Holder::Servers] {
--- a/crates/cometmoor-gateway/tests/quota.rs
+++ b/crates/cometmoor-gateway/tests/quota.rs
@@ -9,12 +9,12 @@
 
 use cometmoor_core::gateway::quota::QuotaBounds;
 use cometmoor_core::gateway::quota::lending::LendingPolicy;
-use quota_world::cuts::{cut_a_third, isolate_a_third};
-use quota_world::policy::SimulatedPolicy;
-use quota_world::stalled_lender::refused_while_the_lender_stands_still;
-use quota_world::summed::SummedQuota;
+use quota_world::partitions::{isolate_every_third_node, isolate_zone};
+use quota_world::simulated_policy::SimulatedPolicy;
+use quota_world::stalled_lender::refusals_while_lender_frozen;
+use quota_world::summed_usage::SummedUsagePolicy;
 use quota_world::tenants::{Outcome, SimulatedTenant};
-use quota_world::{BOUNDS, QuotaWorld, WARM, seeds};
+use quota_world::{BOUNDS, QuotaWorld, WARM_UP_SECONDS, seed_count};
 
 /// Amount a second of the largest tenant.
 const LARGEST: f64 = 250_000.0;
@@ -64,17 +64,17 @@
     ) -> Shown {
         let tenants = || world.tenants.iter().zip(&world.outcomes);
         let worst = |(tenant, outcome): (&SimulatedTenant, &Outcome)| {
-            outcome.worst_window(&tenant.limit.limit)
+            outcome.peak_usage_ratio(&tenant.limit.limit)
         };
         let met = |sends: &f64| {
-            let of = tenants().filter(|(tenant, _)| tenant.sends[0].1 == *sends);
+            let of = tenants().filter(|(tenant, _)| tenant.demand[0].1 == *sends);
             let mut met = Met::default();
             let mut count = 0.0;
             for (tenant, outcome) in of {
                 met.conforming += outcome.conforming;
                 met.refused += outcome.conforming_refused;
                 met.undecided += outcome.undecided;
-                met.used += outcome.use_of(&tenant.limit.limit, from, until);
+                met.used += outcome.utilization(&tenant.limit.limit, from, until);
                 count += 1.0;
             }
             met.used /= count;
@@ -87,8 +87,8 @@
         Shown {
             worst_window: tenants().map(worst).fold(0.0, f64::max),
             met: SENDS.iter().map(met).collect(),
-            bytes: world.bytes as f64 / node_seconds,
-            datagrams: world.datagrams as f64 / node_seconds,
+            bytes: world.sent_bytes as f64 / node_seconds,
+            datagrams: world.sent_datagrams as f64 / node_seconds,
             waits: (wait(50), wait(99)),
         }
     }
@@ -129,13 +129,13 @@
     happen: impl Fn(&mut QuotaWorld<Policy>, u64),
 ) -> Shown {
     let mut world = QuotaWorld::new(nodes, tenants(tenant_count), seed);
-    world.run_until(WARM);
-    world.open_to_callers();
+    world.run_until(WARM_UP_SECONDS);
+    world.start_traffic();
     for second in 0..seconds {
         happen(&mut world, second);
-        world.run_until(WARM + second + 1);
+        world.run_until(WARM_UP_SECONDS + second + 1);
     }
-    Shown::of(&world, nodes, WARM, WARM + seconds)
+    Shown::of(&world, nodes, WARM_UP_SECONDS, WARM_UP_SECONDS + seconds)
 }
 
 fn kill_all<Policy: SimulatedPolicy>(nodes: usize) -> impl Fn(&mut QuotaWorld<Policy>, u64) {
@@ -181,7 +181,7 @@
 
 #[test]
 fn nobody_within_a_limit_is_refused_and_a_limit_is_used_under_pressure() {
-    for seed in 1..=seeds(1) {
+    for seed in 1..=seed_count(1) {
         // Of a hundred tenants the small ones send a request each few seconds: two questions
         // of one node were once taken for a fleet that had fallen apart.
         for (nodes, count) in [(6, 10), (6, 100), (30, 10), (30, 100)] {
@@ -201,18 +201,18 @@
 
 #[test]
 fn limits_hold_while_a_third_of_the_nodes_is_cut_off_together() {
-    for seed in 1..=seeds(1) {
-        assert_bound(&play::<LendingPolicy>(30, 10, 14, seed, cut_a_third), "cut off together");
+    for seed in 1..=seed_count(1) {
+        assert_bound(&play::<LendingPolicy>(30, 10, 14, seed, isolate_zone), "cut off together");
     }
 }
 
 #[test]
 fn limits_hold_while_a_third_of_the_nodes_is_cut_off_one_by_one() {
-    for seed in 1..=seeds(1) {
+    for seed in 1..=seed_count(1) {
         // A lender that is alone counts few questions, of its own callers only: in a fleet
         // of six it once lent its whole limit for a further three seconds, 1.11 of the bound.
         for (nodes, count) in [(3, 16), (6, 16), (30, 10)] {
-            let shown = play::<LendingPolicy>(nodes, count, 14, seed, isolate_a_third);
+            let shown = play::<LendingPolicy>(nodes, count, 14, seed, isolate_every_third_node);
             assert_bound(&shown, "cut off one by one");
         }
     }
@@ -222,7 +222,7 @@
 /// a moment after the nodes are back.
 #[test]
 fn limits_hold_when_all_nodes_are_killed_and_requests_within_them_are_served_soon() {
-    for seed in 1..=seeds(1) {
+    for seed in 1..=seed_count(1) {
         for nodes in [6, 30] {
             let shown = play::<LendingPolicy>(nodes, 10, 12, seed, kill_all(nodes));
             assert_bound(&shown, "killed");
@@ -234,21 +234,21 @@
 
 #[test]
 fn limits_hold_while_lenders_freeze_and_wake() {
-    for seed in 1..=seeds(1) {
+    for seed in 1..=seed_count(1) {
         assert_bound(&play::<LendingPolicy>(30, 10, 14, seed, freeze_lenders), "frozen");
     }
 }
 
 #[test]
 fn limits_hold_while_lenders_are_killed() {
-    for seed in 1..=seeds(1) {
+    for seed in 1..=seed_count(1) {
         assert_bound(&play::<LendingPolicy>(30, 10, 10, seed, kill_lenders), "lenders killed");
     }
 }
 
 #[test]
 fn limits_hold_while_all_nodes_start_again_in_turn() {
-    for seed in 1..=seeds(1) {
+    for seed in 1..=seed_count(1) {
         for nodes in [6, 30] {
             let shown = play::<LendingPolicy>(nodes, 10, 14, seed, restart_in_turn(nodes));
             assert_bound(&shown, "started again in turn");
@@ -260,18 +260,18 @@
 #[test]
 fn a_lower_limit_holds_a_moment_after_the_nodes_know_it() {
     let mut world = QuotaWorld::<LendingPolicy>::new(30, tenants(10), 3);
-    world.run_until(WARM);
-    world.open_to_callers();
-    world.run_until(WARM + 4);
+    world.run_until(WARM_UP_SECONDS);
+    world.start_traffic();
+    world.run_until(WARM_UP_SECONDS + 4);
     for tenant in &mut world.tenants {
         tenant.limit.version = 2;
         tenant.limit.limit.per_second /= 4.0;
         tenant.limit.limit.burst /= 4.0;
     }
     world.outcomes.iter_mut().for_each(|outcome| *outcome = Outcome::default());
-    world.run_until(WARM + 16);
+    world.run_until(WARM_UP_SECONDS + 16);
     for (tenant, outcome) in world.tenants.iter().zip(&world.outcomes) {
-        let worst = outcome.worst_window(&tenant.limit.limit);
+        let worst = outcome.peak_usage_ratio(&tenant.limit.limit);
         assert!(worst <= 1.0, "{tenant:?}: {worst:.3}");
     }
 }
@@ -292,10 +292,10 @@
     vec![
         ("steady", |nodes, tenants, seed| shown(nodes, tenants, seed, |_, _| {})),
         ("a third cut off together", |nodes, tenants, seed| {
-            shown(nodes, tenants, seed, cut_a_third)
+            shown(nodes, tenants, seed, isolate_zone)
         }),
         ("a third cut off one by one", |nodes, tenants, seed| {
-            shown(nodes, tenants, seed, isolate_a_third)
+            shown(nodes, tenants, seed, isolate_every_third_node)
         }),
         ("all killed", |nodes, tenants, seed| shown(nodes, tenants, seed, kill_all(nodes))),
         ("lenders frozen", |nodes, tenants, seed| shown(nodes, tenants, seed, freeze_lenders)),
@@ -315,13 +315,13 @@
     );
     for (nodes, tenants) in [(6, 16), (30, 16), (90, 16), (300, 16), (90, 300)] {
         for ((name, lent), (_, summed)) in
-            plays::<LendingPolicy>().into_iter().zip(plays::<SummedQuota>())
+            plays::<LendingPolicy>().into_iter().zip(plays::<SummedUsagePolicy>())
         {
-            let worst = (1..=seeds(1)).map(|seed| lent(nodes, tenants, seed).0.worst_window);
+            let worst = (1..=seed_count(1)).map(|seed| lent(nodes, tenants, seed).0.worst_window);
             let worst = worst.fold(0.0, f64::max);
             eprintln!(
                 "{nodes} nodes, {tenants} tenants, {name}, lent (worst of {} seeds {worst:.2}) | {}",
-                seeds(1),
+                seed_count(1),
                 lent(nodes, tenants, 1).0.line()
             );
             eprintln!(
@@ -342,11 +342,11 @@
     let bounds = QuotaBounds { slack: 0.0, ..BOUNDS };
     let tenants = vec![SimulatedTenant::new(0, 200.0, 7.0), SimulatedTenant::new(1, 200.0, 0.25)];
     let mut world = QuotaWorld::with_bounds(nodes, tenants, seed, bounds, vec![10.0]);
-    world.run_until(WARM);
-    world.open_to_callers();
+    world.run_until(WARM_UP_SECONDS);
+    world.start_traffic();
     for second in 0..14 {
         happen(&mut world, second);
-        world.run_until(WARM + second + 1);
+        world.run_until(WARM_UP_SECONDS + second + 1);
     }
     world
 }
@@ -362,19 +362,19 @@
 fn a_small_limit_holds_while_nodes_are_cut_off_frozen_or_killed() {
     type Happen = fn(&mut QuotaWorld<LendingPolicy>, u64);
     let happens: [(&str, Happen); 4] = [
-        ("cut off together", cut_a_third),
-        ("cut off one by one", isolate_a_third),
+        ("cut off together", isolate_zone),
+        ("cut off one by one", isolate_every_third_node),
         ("frozen", freeze_the_first_lender),
         ("lenders killed", kill_lenders_of_small_limits),
     ];
     let bounds = QuotaBounds { slack: 0.0, ..BOUNDS };
-    for seed in 1..=seeds(1) {
+    for seed in 1..=seed_count(1) {
         for nodes in [4, 6, 30] {
             for (what, happen) in happens {
                 let world = play_small_limits(nodes, seed, happen);
                 for (tenant, outcome) in world.tenants.iter().zip(&world.outcomes) {
                     let limit = &tenant.limit.limit;
-                    let worst = outcome.most_in(bounds.window) / bounds.max_usage(limit);
+                    let worst = outcome.peak_usage(bounds.window) / bounds.max_usage(limit);
                     assert!(worst <= 1.0, "{nodes} nodes, {what}, seed {seed}: {worst:.3}");
                 }
             }
@@ -392,9 +392,9 @@
 /// A fallback lender that holds less than one request costs refuses callers within the limit.
 #[test]
 fn nobody_within_a_small_limit_is_refused_while_its_lender_stands_still() {
-    for seed in 1..=seeds(1) {
+    for seed in 1..=seed_count(1) {
         for nodes in [4, 6, 30] {
-            let (sent, refused) = refused_while_the_lender_stands_still(nodes, seed);
+            let (sent, refused) = refusals_while_lender_frozen(nodes, seed);
             let share = refused as f64 / sent as f64;
             assert!(share < REFUSED_WITHIN, "{nodes} nodes, {seed}: {refused} of {sent} refused");
         }
@@ -404,6 +404,6 @@
 /// A fallback lender whose sample of the nodes that it reaches is too old gives tokens up.
 #[test]
 fn nobody_within_a_small_limit_is_refused_while_a_fallback_asks_whom_it_reaches() {
-    let (sent, refused) = refused_while_the_lender_stands_still(30, 16);
+    let (sent, refused) = refusals_while_lender_frozen(30, 16);
     assert!(refused == 0, "{refused} of {sent} refused");
 }
--- a/crates/cometmoor-gateway/tests/quota_stalled_lender.rs
+++ b/crates/cometmoor-gateway/tests/quota_stalled_lender.rs
@@ -8,8 +8,8 @@
 mod quota_world;
 mod world;
 
-use quota_world::seeds;
-use quota_world::stalled_lender::{self, refused_while_the_lender_stands_still};
+use quota_world::seed_count;
+use quota_world::stalled_lender::{self, refusals_while_lender_frozen};
 
 /// Share of the requests within a limit that may be refused for it.
 const REFUSED_WITHIN: f64 = 0.005;
@@ -38,7 +38,7 @@
 #[test]
 fn nobody_within_a_small_limit_is_refused_by_a_fallback_lender_that_misjudges_the_fleet() {
     for (nodes, seed) in ONCE_REFUSED {
-        let (sent, refused) = refused_while_the_lender_stands_still(nodes, seed);
+        let (sent, refused) = refusals_while_lender_frozen(nodes, seed);
         assert_eq!(refused, 0, "{nodes} nodes, seed {seed}: of {sent} sent");
     }
 }
@@ -47,8 +47,8 @@
 #[test]
 fn nobody_within_a_small_limit_is_refused_at_any_of_many_seeds() {
     for (nodes, plays) in [(4, 100), (6, 100), (12, 50), (30, 20)] {
-        for seed in 1..=seeds(plays) {
-            let (sent, refused) = refused_while_the_lender_stands_still(nodes, seed);
+        for seed in 1..=seed_count(plays) {
+            let (sent, refused) = refusals_while_lender_frozen(nodes, seed);
             let share = refused as f64 / sent as f64;
             assert!(share < REFUSED_WITHIN, "{nodes} nodes, {seed}: {refused} of {sent} refused");
         }
@@ -58,7 +58,7 @@
 /// A fallback lender begins with an empty bucket, and a burst then wants more than it earns.
 #[test]
 fn nobody_within_a_small_limit_is_refused_as_a_burst_meets_a_fallback_lender_that_begins() {
-    let (sent, refused) = refused_while_the_lender_stands_still(30, 312);
+    let (sent, refused) = refusals_while_lender_frozen(30, 312);
     assert_eq!(refused, 0, "of {sent} sent");
 }
 
@@ -71,8 +71,8 @@
     let only: Option<usize> = only.and_then(|text| text.parse().ok());
     for nodes in SIZES.into_iter().filter(|nodes| only.is_none_or(|only| only == *nodes)) {
         let (mut sent_in_all, mut refused_in_all, mut broken) = (0, 0, Vec::new());
-        for seed in 1..=seeds(100) {
-            let (sent, refused) = refused_while_the_lender_stands_still(nodes, seed);
+        for seed in 1..=seed_count(100) {
+            let (sent, refused) = refusals_while_lender_frozen(nodes, seed);
             sent_in_all += sent;
             refused_in_all += refused;
             if refused as f64 >= REFUSED_WITHIN * sent as f64 {
@@ -88,6 +88,6 @@
     let Ok(text) = std::env::var("COMETMOOR_QUOTA_TRACE") else { return };
     let (nodes, seed) = text.split_once(',').expect("NODES,SEED");
     let (nodes, seed) = (nodes.parse().unwrap(), seed.parse().unwrap());
-    let (sent, refused) = stalled_lender::play(nodes, seed, true);
+    let (sent, refused) = stalled_lender::run(nodes, seed, true);
     eprintln!("{refused} of {sent} refused");
 }
--- a/crates/cometmoor-gateway/tests/quota_world/equal.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/equal_shares.rs
@@ -11,19 +11,19 @@
 use cometmoor_core::time::BootInstant;
 
 /// A node with its shares.
-pub struct EqualShares {
+pub struct EqualSharesPolicy {
     ranks: FleetView,
     buckets: HashMap<QuotaKey, TokenBucket>,
 }
 
-impl EqualShares {
+impl EqualSharesPolicy {
     /// A node that has just started.
-    pub fn new(own: SocketAddrV4, now: BootInstant) -> EqualShares {
-        EqualShares { ranks: FleetView::new(own, Vec::new(), now), buckets: HashMap::new() }
+    pub fn new(own: SocketAddrV4, now: BootInstant) -> EqualSharesPolicy {
+        EqualSharesPolicy { ranks: FleetView::new(own, Vec::new(), now), buckets: HashMap::new() }
     }
 }
 
-impl QuotaPolicy for EqualShares {
+impl QuotaPolicy for EqualSharesPolicy {
     type Message = ();
 
     fn request(
--- a/crates/cometmoor-gateway/tests/quota_world/mod.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/mod.rs
@@ -3,11 +3,11 @@
 
 #![allow(dead_code, reason = "each test uses its part of the world")]
 
-pub mod cuts;
-pub mod equal;
-pub mod policy;
+pub mod equal_shares;
+pub mod partitions;
+pub mod simulated_policy;
 pub mod stalled_lender;
-pub mod summed;
+pub mod summed_usage;
 pub mod tenants;
 
 use std::cmp::Reverse;
@@ -20,16 +20,16 @@
 };
 use cometmoor_core::time::BootInstant;
 
-use self::policy::SimulatedPolicy;
-use self::summed::{HeardUse, Used};
+use self::simulated_policy::SimulatedPolicy;
+use self::summed_usage::{RemoteUsage, Usage};
 use self::tenants::{COSTS, Outcome, SimulatedTenant};
 use crate::world::{self, World, zone_of};
 
 /// Seconds until the nodes know one another and have watched for a window.
-pub const WARM: u64 = 12;
+pub const WARM_UP_SECONDS: u64 = 12;
 
 /// Seeds to play: `COMETMOOR_QUOTA_SEEDS`, or so many.
-pub fn seeds(default: u64) -> u64 {
+pub fn seed_count(default: u64) -> u64 {
     let text = std::env::var("COMETMOOR_QUOTA_SEEDS").ok();
     text.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
@@ -78,13 +78,13 @@
 }
 
 /// What a node's heartbeats told of its use: the last ones, the newest first.
-type ToldUse = VecDeque<HashMap<QuotaKey, Used>>;
+type ToldUse = VecDeque<HashMap<QuotaKey, Usage>>;
 
 struct QuotaNode<Policy> {
     policy: Policy,
     told: ToldUse,
     /// What it has heard of each other node.
-    heard: HashMap<(SocketAddrV4, u64), HashMap<QuotaKey, Used>>,
+    heard: HashMap<(SocketAddrV4, u64), HashMap<QuotaKey, Usage>>,
     /// Tells this process from an earlier one.
     life: u64,
     waiting: HashMap<Ticket, Waiting>,
@@ -96,7 +96,7 @@
 
 /// The fleet.
 pub struct QuotaWorld<Policy: SimulatedPolicy> {
-    pub world: World,
+    pub fleet: World,
     pub tenants: Vec<SimulatedTenant>,
     places: usize,
     bounds: QuotaBounds,
@@ -105,12 +105,12 @@
     /// Microseconds since it began.
     pub now: u64,
     /// Bytes and datagrams that nodes have sent.
-    pub bytes: u64,
-    pub datagrams: u64,
+    pub sent_bytes: u64,
+    pub sent_datagrams: u64,
     /// Waits of requests for their decision, in microseconds.
     pub waits: Vec<u64>,
     /// Nodes from this place on reach nobody else.
-    pub isolated: Vec<SocketAddrV4>,
+    pub isolated_nodes: Vec<SocketAddrV4>,
     nodes: BTreeMap<SocketAddrV4, QuotaNode<Policy>>,
     /// Limits as one place would hold them.
     ideal: Vec<(f64, u64)>,
@@ -142,7 +142,7 @@
         costs: Vec<f64>,
     ) -> Self {
         let mut world = QuotaWorld {
-            world: World::new(seed),
+            fleet: World::new(seed),
             outcomes: vec![Outcome::default(); tenants.len()],
             ideal: tenants.iter().map(|tenant| (tenant.limit.limit.burst, 0)).collect(),
             tenants,
@@ -150,10 +150,10 @@
             bounds,
             costs,
             now: 0,
-            bytes: 0,
-            datagrams: 0,
+            sent_bytes: 0,
+            sent_datagrams: 0,
             waits: Vec::new(),
-            isolated: Vec::new(),
+            isolated_nodes: Vec::new(),
             nodes: BTreeMap::new(),
             events: BinaryHeap::new(),
             queue: HashMap::new(),
@@ -170,9 +170,9 @@
     /// Starts nodes.
     pub fn start(&mut self, indexes: std::ops::Range<usize>) {
         self.places = self.places.max(indexes.end);
-        self.world.start(indexes);
+        self.fleet.start(indexes);
         let new: Vec<SocketAddrV4> = self
-            .world
+            .fleet
             .nodes
             .keys()
             .copied()
@@ -202,7 +202,7 @@
 
     /// Kills a node.
     pub fn kill(&mut self, node: SocketAddrV4) {
-        self.world.nodes.remove(&node);
+        self.fleet.nodes.remove(&node);
         self.nodes.remove(&node);
     }
 
@@ -212,7 +212,7 @@
     }
 
     /// Places of nodes that were ever started.
-    pub fn places(&self) -> usize {
+    pub fn started_count(&self) -> usize {
         self.places
     }
 
@@ -254,7 +254,7 @@
     }
 
     /// Begins the callers' requests.
-    pub fn open_to_callers(&mut self) {
+    pub fn start_traffic(&mut self) {
         for tenant in 0..self.tenants.len() {
             self.push_arrival(tenant);
         }
@@ -262,7 +262,7 @@
 
     fn push_arrival(&mut self, tenant: usize) {
         let known = &self.tenants[tenant];
-        let part = known.sends_at(self.now / SECOND);
+        let part = known.demand_at(self.now / SECOND);
         let mean_cost = self.costs.iter().sum::<f64>() / self.costs.len() as f64;
         let per_second = known.limit.limit.per_second * part / mean_cost;
         if per_second <= 0.0 {
@@ -291,7 +291,7 @@
     fn happen(&mut self, event: Event<Policy::Message>) {
         match event {
             Event::Turn => {
-                self.world.step();
+                self.fleet.step();
                 self.push(TURN, Event::Turn);
             }
             Event::Arrives { tenant } if tenant & NO_REQUEST != 0 => {
@@ -387,8 +387,8 @@
             self.note(&waiting, decision);
         }
         for (to, message) in effects.messages {
-            self.bytes += Policy::bytes(&message);
-            self.datagrams += 1;
+            self.sent_bytes += Policy::bytes(&message);
+            self.sent_datagrams += 1;
             if self.draw(1000) < LOST {
                 continue;
             }
@@ -449,7 +449,7 @@
         if let Some(left) = self.is_frozen(own) {
             return self.push(left, Event::Look { node: own, life });
         }
-        let Some(known) = self.world.nodes.get(&own) else { return };
+        let Some(known) = self.fleet.nodes.get(&own) else { return };
         let mut alive: Vec<SocketAddrV4> =
             known.membership.members().iter().map(|member| member.address()).collect();
         alive.push(own);
@@ -468,13 +468,13 @@
         }
         let is_same = |node: &&mut QuotaNode<Policy>| node.life == life;
         let Some(node) = self.nodes.get_mut(&own).filter(is_same) else { return };
-        let used: HashMap<QuotaKey, Used> = node.policy.used().into_iter().collect();
-        self.bytes += BYTES_TOLD * used.len() as u64;
+        let used: HashMap<QuotaKey, Usage> = node.policy.used().into_iter().collect();
+        self.sent_bytes += BYTES_TOLD * used.len() as u64;
         node.told.push_front(used);
         node.told.truncate(HEARTBEATS_FAR + 1);
         let others: Vec<SocketAddrV4> =
             self.nodes.keys().copied().filter(|other| *other != own).collect();
-        let mut sum: HashMap<QuotaKey, Used> = HashMap::new();
+        let mut sum: HashMap<QuotaKey, Usage> = HashMap::new();
         for other in others {
             if !self.reaches(other, own) || self.draw(1000) < LOST {
                 continue;
@@ -494,7 +494,7 @@
         }
         let now = at(self.now);
         if let Some(node) = self.nodes.get_mut(&own) {
-            node.policy.hear(HeardUse { used: sum.into_iter().collect() }, now);
+            node.policy.hear(RemoteUsage { used: sum.into_iter().collect() }, now);
         }
         self.push(HEAR, Event::Hear { node: own, life });
     }
@@ -502,8 +502,8 @@
     /// Whether what a node sends comes to another one now.
     fn reaches(&self, from: SocketAddrV4, to: SocketAddrV4) -> bool {
         let is_cut = |zone: usize| (zone_of(from) == zone) != (zone_of(to) == zone);
-        let is_isolated = self.isolated.contains(&from) || self.isolated.contains(&to);
-        !is_isolated && !self.world.isolated_zone.is_some_and(is_cut)
+        let is_isolated = self.isolated_nodes.contains(&from) || self.isolated_nodes.contains(&to);
+        !is_isolated && !self.fleet.isolated_zone.is_some_and(is_cut)
     }
 }
 
--- a/crates/cometmoor-gateway/tests/quota_world/policy.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/simulated_policy.rs
@@ -7,8 +7,8 @@
 use cometmoor_core::gateway::quota::{Effects, QuotaBounds, QuotaKey, QuotaPolicy};
 use cometmoor_core::time::BootInstant;
 
-use super::equal::EqualShares;
-use super::summed::{HeardUse, SummedQuota, Used};
+use super::equal_shares::EqualSharesPolicy;
+use super::summed_usage::{RemoteUsage, SummedUsagePolicy, Usage};
 
 /// A way to hold limits, as the world runs it.
 pub trait SimulatedPolicy: QuotaPolicy<Message: Debug> + Sized {
@@ -25,11 +25,11 @@
     /// Whether requests wait.
     fn has_waiting(&self) -> bool;
     /// What a node tells of its use by its heartbeat, where it does.
-    fn used(&self) -> Vec<(QuotaKey, Used)> {
+    fn used(&self) -> Vec<(QuotaKey, Usage)> {
         Vec::new()
     }
     /// Takes what it hears of the use of others.
-    fn hear(&mut self, _used: HeardUse, _now: BootInstant) {}
+    fn hear(&mut self, _used: RemoteUsage, _now: BootInstant) {}
     /// The node that is asked first for a tenant, where one is.
     fn lender_of(&mut self, _tenant: QuotaKey) -> Option<SocketAddrV4> {
         None
@@ -60,7 +60,7 @@
     }
 }
 
-impl SimulatedPolicy for EqualShares {
+impl SimulatedPolicy for EqualSharesPolicy {
     fn start(
         own: SocketAddrV4,
         _: Vec<SocketAddrV4>,
@@ -68,7 +68,7 @@
         _: u64,
         now: BootInstant,
     ) -> Self {
-        EqualShares::new(own, now)
+        EqualSharesPolicy::new(own, now)
     }
 
     fn bytes(_: &Self::Message) -> u64 {
@@ -80,7 +80,7 @@
     }
 }
 
-impl SimulatedPolicy for SummedQuota {
+impl SimulatedPolicy for SummedUsagePolicy {
     fn start(
         own: SocketAddrV4,
         _: Vec<SocketAddrV4>,
@@ -88,7 +88,7 @@
         _: u64,
         now: BootInstant,
     ) -> Self {
-        SummedQuota::new(own, bounds, now)
+        SummedUsagePolicy::new(own, bounds, now)
     }
 
     fn bytes(_: &Self::Message) -> u64 {
@@ -99,11 +99,11 @@
         false
     }
 
-    fn used(&self) -> Vec<(QuotaKey, Used)> {
-        SummedQuota::used(self)
+    fn used(&self) -> Vec<(QuotaKey, Usage)> {
+        SummedUsagePolicy::used(self)
     }
 
-    fn hear(&mut self, used: HeardUse, now: BootInstant) {
+    fn hear(&mut self, used: RemoteUsage, now: BootInstant) {
         self.receive(SocketAddrV4::new([0, 0, 0, 0].into(), 0), used, now, &mut Effects::default());
     }
 }
--- a/crates/cometmoor-gateway/tests/quota_world/summed.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/summed_usage.rs
@@ -30,30 +30,30 @@
 
 /// What was asked for and admitted of a tenant, since a process or a sum began.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Used {
+pub struct Usage {
     /// Amount that was asked for.
     pub asked: f64,
     /// Amount that was admitted and not given back.
     pub admitted: f64,
 }
 
-impl Used {
+impl Usage {
     /// The sum.
-    pub fn plus(self, other: Used) -> Used {
-        Used { asked: self.asked + other.asked, admitted: self.admitted + other.admitted }
+    pub fn plus(self, other: Usage) -> Usage {
+        Usage { asked: self.asked + other.asked, admitted: self.admitted + other.admitted }
     }
 
     /// What came since an earlier figure.
-    pub fn since(self, earlier: Used) -> Used {
-        Used { asked: self.asked - earlier.asked, admitted: self.admitted - earlier.admitted }
+    pub fn since(self, earlier: Usage) -> Usage {
+        Usage { asked: self.asked - earlier.asked, admitted: self.admitted - earlier.admitted }
     }
 }
 
 /// What the other nodes have used since it was last heard.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct HeardUse {
+pub struct RemoteUsage {
     /// By tenant.
-    pub used: Vec<(QuotaKey, Used)>,
+    pub used: Vec<(QuotaKey, Usage)>,
 }
 
 /// A tenant at this node.
@@ -63,7 +63,7 @@
     bucket: TokenBucket,
     /// What this node alone may use where it hears of nobody.
     own_share: TokenBucket,
-    own: Used,
+    own: Usage,
     /// Amount a second that all nodes were asked for.
     asked_rate: f64,
     asked_at: BootInstant,
@@ -73,7 +73,7 @@
 
 /// A node that goes by what it hears of all.
 #[derive(Clone, Debug)]
-pub struct SummedQuota {
+pub struct SummedUsagePolicy {
     bounds: QuotaBounds,
     ranks: FleetView,
     accounts: HashMap<QuotaKey, Account>,
@@ -81,10 +81,10 @@
     ticked: BootInstant,
 }
 
-impl SummedQuota {
+impl SummedUsagePolicy {
     /// A node that has just started.
-    pub fn new(own: SocketAddrV4, bounds: QuotaBounds, now: BootInstant) -> SummedQuota {
-        SummedQuota {
+    pub fn new(own: SocketAddrV4, bounds: QuotaBounds, now: BootInstant) -> SummedUsagePolicy {
+        SummedUsagePolicy {
             bounds,
             ranks: FleetView::new(own, Vec::new(), now),
             accounts: HashMap::new(),
@@ -94,7 +94,7 @@
     }
 
     /// What this node was asked for and has admitted since it began, for the others.
-    pub fn used(&self) -> Vec<(QuotaKey, Used)> {
+    pub fn used(&self) -> Vec<(QuotaKey, Usage)> {
         self.accounts.iter().map(|(tenant, account)| (*tenant, account.own)).collect()
     }
 
@@ -115,7 +115,7 @@
             limit,
             bucket: TokenBucket::new(level, most, rate * share, now),
             own_share: TokenBucket::new(0.0, most / sharing, rate / sharing, now),
-            own: Used::default(),
+            own: Usage::default(),
             asked_rate: 0.0,
             asked_at: now,
             credit: 0.0,
@@ -163,8 +163,8 @@
     }
 }
 
-impl QuotaPolicy for SummedQuota {
-    type Message = HeardUse;
+impl QuotaPolicy for SummedUsagePolicy {
+    type Message = RemoteUsage;
 
     fn request(
         &mut self,
@@ -172,7 +172,7 @@
         limit: VersionedLimit,
         cost: f64,
         now: BootInstant,
-        _: &mut Effects<HeardUse>,
+        _: &mut Effects<RemoteUsage>,
     ) -> Decision {
         let is_alone = self.heard.is_none_or(|heard| now.since(heard) > HEARD_FOR)
             && self.ranks.sharing_count(now) > 1;
@@ -190,7 +190,13 @@
         account.admit(cost)
     }
 
-    fn refund(&mut self, tenant: QuotaKey, cost: f64, _: BootInstant, _: &mut Effects<HeardUse>) {
+    fn refund(
+        &mut self,
+        tenant: QuotaKey,
+        cost: f64,
+        _: BootInstant,
+        _: &mut Effects<RemoteUsage>,
+    ) {
         if let Some(account) = self.accounts.get_mut(&tenant) {
             account.own.admitted -= cost;
             account.bucket.refund(cost);
@@ -200,9 +206,9 @@
     fn receive(
         &mut self,
         _: SocketAddrV4,
-        heard: HeardUse,
+        heard: RemoteUsage,
         now: BootInstant,
-        _: &mut Effects<HeardUse>,
+        _: &mut Effects<RemoteUsage>,
     ) {
         self.heard = Some(now);
         for (tenant, used) in heard.used {
@@ -218,7 +224,7 @@
         self.ranks.set_alive(alive, now);
     }
 
-    fn tick(&mut self, now: BootInstant, _: &mut Effects<HeardUse>) {
+    fn tick(&mut self, now: BootInstant, _: &mut Effects<RemoteUsage>) {
         if now.since(self.ticked) >= SLEPT_FROM {
             self.accounts.clear();
             self.heard = None;
--- a/crates/cometmoor-gateway/tests/quota_world/tenants.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/tenants.rs
@@ -16,7 +16,7 @@
     pub key: QuotaKey,
     pub limit: VersionedLimit,
     /// Part of the limit that is sent, from a second on.
-    pub sends: Vec<(u64, f64)>,
+    pub demand: Vec<(u64, f64)>,
 }
 
 impl SimulatedTenant {
@@ -26,12 +26,12 @@
         SimulatedTenant {
             key: QuotaKey::of(&format!("tenant-{name}")),
             limit: VersionedLimit { limit, version: 1 },
-            sends: vec![(0, sends)],
+            demand: vec![(0, sends)],
         }
     }
 
-    pub(super) fn sends_at(&self, second: u64) -> f64 {
-        self.sends.iter().rev().find(|(from, _)| *from <= second).map_or(0.0, |(_, part)| *part)
+    pub(super) fn demand_at(&self, second: u64) -> f64 {
+        self.demand.iter().rev().find(|(from, _)| *from <= second).map_or(0.0, |(_, part)| *part)
     }
 }
 
@@ -51,12 +51,12 @@
 
 impl Outcome {
     /// Most that ran in any window, against the most that may.
-    pub fn worst_window(&self, limit: &TenantLimit) -> f64 {
-        self.most_in(BOUNDS.window) / BOUNDS.max_usage(limit)
+    pub fn peak_usage_ratio(&self, limit: &TenantLimit) -> f64 {
+        self.peak_usage(BOUNDS.window) / BOUNDS.max_usage(limit)
     }
 
     /// Most that ran in any span of a length.
-    pub fn most_in(&self, window: Duration) -> f64 {
+    pub fn peak_usage(&self, window: Duration) -> f64 {
         let mut runs = self.runs.clone();
         runs.sort_unstable_by_key(|(at, _)| *at);
         let window = u64::try_from(window.as_micros()).unwrap();
@@ -73,7 +73,7 @@
     }
 
     /// Part of the limit that ran from one second to another one.
-    pub fn use_of(&self, limit: &TenantLimit, from: u64, until: u64) -> f64 {
+    pub fn utilization(&self, limit: &TenantLimit, from: u64, until: u64) -> f64 {
         let inside = |at: &u64| *at >= from * SECOND && *at < until * SECOND;
         let ran: f64 = self.runs.iter().filter(|(at, _)| inside(at)).map(|(_, cost)| cost).sum();
         ran / (limit.per_second * (until - from) as f64)
--- a/crates/cometmoor-gateway/tests/server_limits.rs
+++ b/crates/cometmoor-gateway/tests/server_limits.rs
@@ -13,11 +13,11 @@
 use cometmoor_core::gateway::quota::QuotaKey;
 use cometmoor_core::gateway::quota::lending::LendingPolicy;
 use cometmoor_core::gateway::quota::server_limit::{SERVER_LIMIT_BOUNDS, server_limit};
-use quota_world::cuts::{cut_a_third, isolate_a_third};
-use quota_world::equal::EqualShares;
-use quota_world::policy::SimulatedPolicy;
+use quota_world::equal_shares::EqualSharesPolicy;
+use quota_world::partitions::{isolate_every_third_node, isolate_zone};
+use quota_world::simulated_policy::SimulatedPolicy;
 use quota_world::tenants::{Outcome, SimulatedTenant};
-use quota_world::{QuotaWorld, WARM, seeds};
+use quota_world::{QuotaWorld, WARM_UP_SECONDS, seed_count};
 
 /// Seconds that are played.
 const PLAYED: u64 = 20;
@@ -40,7 +40,7 @@
     let of = |(place, per_second): (usize, &f64)| SimulatedTenant {
         key: QuotaKey::of(&format!("server-{place}")),
         limit: server_limit(*per_second, 1),
-        sends: vec![(0, DEMAND / per_second)],
+        demand: vec![(0, DEMAND / per_second)],
     };
     LIMITS.iter().enumerate().map(of).collect()
 }
@@ -77,23 +77,27 @@
     happen: impl Fn(&mut QuotaWorld<Policy>, u64),
 ) -> Shown {
     let mut world = QuotaWorld::with_bounds(nodes, servers(), seed, SERVER_LIMIT_BOUNDS, vec![1.0]);
-    world.run_until(WARM);
-    world.open_to_callers();
+    world.run_until(WARM_UP_SECONDS);
+    world.start_traffic();
     for second in 0..PLAYED {
         happen(&mut world, second);
-        world.run_until(WARM + second + 1);
+        world.run_until(WARM_UP_SECONDS + second + 1);
     }
     let met = |(server, outcome): (&SimulatedTenant, &Outcome)| Met {
         per_second: server.limit.limit.per_second,
-        most: outcome.most_in(WINDOW),
-        used: outcome.use_of(&server.limit.limit, WARM + USED_FROM, WARM + PLAYED),
+        most: outcome.peak_usage(WINDOW),
+        used: outcome.utilization(
+            &server.limit.limit,
+            WARM_UP_SECONDS + USED_FROM,
+            WARM_UP_SECONDS + PLAYED,
+        ),
     };
     let mut waits = world.waits.clone();
     waits.sort_unstable();
     let wait = |hundredths: usize| waits[waits.len() * hundredths / 100] as f64 / 1000.0;
     Shown {
         met: world.tenants.iter().zip(&world.outcomes).map(met).collect(),
-        bytes: world.bytes as f64 / (nodes as u64 * (WARM + PLAYED)) as f64,
+        bytes: world.sent_bytes as f64 / (nodes as u64 * (WARM_UP_SECONDS + PLAYED)) as f64,
         waits: (wait(50), wait(99)),
     }
 }
@@ -110,7 +114,7 @@
 fn kill_all<Policy: SimulatedPolicy>(world: &mut QuotaWorld<Policy>, second: u64) {
     match second {
         2 => world.addresses().into_iter().for_each(|node| world.kill(node)),
-        3 => world.start(0..world.places()),
+        3 => world.start(0..world.started_count()),
         _ => {}
     }
 }
@@ -118,7 +122,7 @@
 /// Starts each node anew in turn, two a second.
 fn restart_in_turn<Policy: SimulatedPolicy>(world: &mut QuotaWorld<Policy>, second: u64) {
     for half in 0..2 {
-        let place = (2 * second + half) as usize % world.places();
+        let place = (2 * second + half) as usize % world.started_count();
         let node = world.address(place);
         world.kill(node);
         world.start(place..place + 1);
@@ -135,7 +139,7 @@
 
 #[test]
 fn a_limit_is_held_and_used_by_any_number_of_nodes() {
-    for seed in 1..=seeds(1) {
+    for seed in 1..=seed_count(1) {
         for nodes in [3, 6, 30, 90] {
             let shown = play::<LendingPolicy>(nodes, seed, is_calm);
             assert_bound(&shown, "calm");
@@ -148,11 +152,11 @@
 
 #[test]
 fn a_limit_is_held_while_nodes_are_cut_off_frozen_killed_and_started_again() {
-    for seed in 1..=seeds(1) {
+    for seed in 1..=seed_count(1) {
         for nodes in [6, 30] {
-            assert_bound(&play::<LendingPolicy>(nodes, seed, cut_a_third), "cut off together");
+            assert_bound(&play::<LendingPolicy>(nodes, seed, isolate_zone), "cut off together");
             assert_bound(
-                &play::<LendingPolicy>(nodes, seed, isolate_a_third),
+                &play::<LendingPolicy>(nodes, seed, isolate_every_third_node),
                 "cut off one by one",
             );
             assert_bound(&play::<LendingPolicy>(nodes, seed, freeze_lenders), "lenders frozen");
@@ -166,8 +170,8 @@
     type Happen<Policy> = fn(&mut QuotaWorld<Policy>, u64);
     let plays: [(&str, Happen<Policy>); 6] = [
         ("calm", is_calm),
-        ("a third cut off together", cut_a_third),
-        ("a third cut off one by one", isolate_a_third),
+        ("a third cut off together", isolate_zone),
+        ("a third cut off one by one", isolate_every_third_node),
         ("lenders frozen", freeze_lenders),
         ("all killed", kill_all),
         ("started again in turn", restart_in_turn),
@@ -175,7 +179,7 @@
     for (name, happen) in plays {
         for nodes in [3, 6, 30, 90, 300] {
             let mut worst = play::<Policy>(nodes, 1, happen);
-            for seed in 2..=seeds(1) {
+            for seed in 2..=seed_count(1) {
                 let shown = play::<Policy>(nodes, seed, happen);
                 for (worst, met) in worst.met.iter_mut().zip(shown.met) {
                     worst.most = worst.most.max(met.most);
@@ -194,5 +198,5 @@
     }
     eprintln!("limits {LIMITS:?}: most in 4 s/allowed, least use; bytes a node and second; waits");
     print::<LendingPolicy>("lent");
-    print::<EqualShares>("equal shares");
+    print::<EqualSharesPolicy>("equal shares");
 }
