--- a/crates/cometmoor-gateway/src/control/demand.rs
+++ b/crates/cometmoor-gateway/src/control/demand.rs
@@ -46,7 +46,7 @@
         for (key, demand) in &heartbeat.demand {
             let last = self.last.insert((source, *key), *demand).unwrap_or_default();
             let requests = demand.requests.saturating_sub(last.requests);
-            let work = demand.work_micros.saturating_sub(last.work_micros);
+            let work = demand.prefill_micros.saturating_sub(last.prefill_micros);
             self.rates.requests.record(*key, requests as f64, now);
             self.rates.work.record(*key, work as f64 / MICROS, now);
             let slots = demand.slot_micros.saturating_sub(last.slot_micros);
--- a/crates/cometmoor-gateway/src/control/fleet/messages.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/messages.rs
@@ -436,7 +436,7 @@
         let first_demand = self.demand.first();
         let now = self.now();
         let mut waited_for = self.peers.waited_for(now);
-        waited_for.extend(self.context.loads.waited_for(clock::now()));
+        waited_for.extend(self.context.loads.awaited_models(clock::now()));
         MessageResult(DemandView { rates, now, first_demand, waited_for })
     }
 }
--- a/crates/cometmoor-gateway/src/forward/crash_check.rs
+++ b/crates/cometmoor-gateway/src/forward/crash_check.rs
@@ -18,7 +18,7 @@
 use crate::metrics::Metrics;
 use crate::published::Board;
 use crate::quarantine::QuarantineBoard;
-use crate::servers::{BrokenRequest, Server};
+use crate::servers::{InterruptedRequest, Server};
 
 /// Connections that are tried to a server which neither takes nor refuses them in time.
 const PROBES: u32 = 3;
@@ -37,12 +37,13 @@
     /// Notes that the connection to a server ended before its answer did, and finds out
     /// whether the server has crashed. One that is draining is expected to end.
     pub(super) fn note_broken(&self, server: &Rc<Server>, error: &io::Error) {
-        if !is_end_of_connection(error) || !server.takes_work() {
+        if !is_end_of_connection(error) || !server.accepts_requests() {
             return;
         }
         self.traffic.quarantine.begin_crash_check(self.content);
-        let request = BrokenRequest { content: self.content, request: self.facts.id.clone() };
-        let is_first = server.note_broken(request);
+        let request =
+            InterruptedRequest { content: self.content, request_id: self.facts.id.clone() };
+        let is_first = server.record_interrupted(request);
         if is_first {
             let check = LivenessCheck {
                 server: server.clone(),
@@ -57,7 +58,7 @@
     /// Waits a moment until it is known whether the server has crashed under the request:
     /// retried before, it could crash the next one without having been blamed.
     pub(super) async fn wait_for_liveness(&self, server: &Server) {
-        let _ = clock::timeout(LIVENESS_WAIT, server.probed()).await;
+        let _ = clock::timeout(LIVENESS_WAIT, server.wait_for_probe()).await;
     }
 
     /// Waits a moment where the request may have crashed enough servers to be quarantined.
@@ -87,21 +88,21 @@
 impl LivenessCheck {
     async fn run(self) {
         let has_crashed = self.has_crashed().await;
-        let broken = self.server.take_broken();
+        let broken = self.server.take_interrupted();
         if has_crashed {
             self.metrics.server_crashes.inc();
             broken.iter().for_each(|request| self.blame(request));
             self.board.heartbeat_wanted.notify_one();
         }
         broken.iter().for_each(|request| self.quarantine.end_crash_check(request.content));
-        self.server.note_probed();
+        self.server.record_probe();
     }
 
     async fn has_crashed(&self) -> bool {
         for _ in 0..PROBES {
             match self.server.pool.probe().await {
                 Ok(stream) => {
-                    self.server.note_probed();
+                    self.server.record_probe();
                     clock::sleep(PROBE_RESTS).await;
                     if self.server.pool.keep(stream) {
                         return false;
@@ -114,9 +115,9 @@
         false
     }
 
-    fn blame(&self, broken: &BrokenRequest) {
+    fn blame(&self, broken: &InterruptedRequest) {
         let incarnation = &*self.server.record().incarnation;
-        let (request, content) = (&*broken.request, broken.content.to_string());
+        let (request, content) = (&*broken.request_id, broken.content.to_string());
         match self.quarantine.note_crash(broken.content, server_key(incarnation)) {
             CrashVerdict::Cleared => {
                 info!("[quarantine] a server crashed beside a request that others answer", kv: { request, content, server = incarnation });
--- a/crates/cometmoor-gateway/src/forward/exchange.rs
+++ b/crates/cometmoor-gateway/src/forward/exchange.rs
@@ -148,7 +148,7 @@
                 &record.incarnation,
                 "it is for another request",
             );
-            server.note_failure(clock::now());
+            server.record_failure(clock::now());
             received = next_answer(received, self.head.method == "HEAD")
                 .await
                 .map_err(SendError::Broken)?;
@@ -160,7 +160,7 @@
         let facts = self.traffic.dialect.answer_facts(&received.head);
         let Some(signals) = facts.signals else { return };
         let board = &self.traffic.signals;
-        if board.note_answer(&record.incarnation, &self.facts.id, signals, sent) {
+        if board.note_response(&record.incarnation, &self.facts.id, signals, sent) {
             self.traffic.board.heartbeat_wanted.notify_one();
         }
     }
--- a/crates/cometmoor-gateway/src/forward/migration.rs
+++ b/crates/cometmoor-gateway/src/forward/migration.rs
@@ -20,7 +20,7 @@
 use super::exchange::Received;
 use crate::clock;
 use crate::dialect::{RunCopy, RunMove, RunMoveAnswer};
-use crate::load::{PendingWork, model_key, server_key};
+use crate::load::{PendingPrefill, model_key, server_key};
 use crate::servers::Server;
 
 /// Longest time for one call that copies a run's memory.
@@ -127,7 +127,7 @@
         }
         // Without other requests nobody else brings the table up to date.
         self.traffic.servers.borrow_mut().update(&self.traffic.board.fleet.load());
-        if !source.takes_work() {
+        if !source.accepts_requests() {
             return Some(MoveReason::ServerLeaves);
         }
         let key = (server_key(&source.record().incarnation), model_key(&model.model, None));
@@ -150,7 +150,7 @@
         table.update(&fleet);
         let able =
             self.able_servers(table.of_service(&service), &placement, now).filter(|server| {
-                !server.is_paused(now)
+                !server.is_backing_off(now)
                     && self.traffic.signals.limit(server.hash()).is_none()
                     && self.traffic.signals.hold(server.hash(), now).is_none()
                     && server.record().incarnation != source.record().incarnation
@@ -171,7 +171,7 @@
         reason: MoveReason,
     ) -> Option<Continuation> {
         let place = target.record().incarnation.clone();
-        let _slot = self.traffic.loads.sent(&place, PendingWork::default());
+        let _slot = self.traffic.loads.add_in_flight(&place, PendingPrefill::default());
         let RunMoveAnswer::Copied(_) = self.copy_run(source, &target, false).await? else {
             return None;
         };
@@ -200,7 +200,7 @@
             target: target.record().address,
             stops_run,
         });
-        match source.calls.call(&call, CALL_TIMEOUT).await {
+        match source.call_client.call(&call, CALL_TIMEOUT).await {
             Ok(answer) => {
                 let answer = self.traffic.dialect.parse_run_move(&answer);
                 if !matches!(answer, RunMoveAnswer::Copied(_)) {
--- a/crates/cometmoor-gateway/src/forward/relay.rs
+++ b/crates/cometmoor-gateway/src/forward/relay.rs
@@ -15,7 +15,7 @@
 use crate::clock;
 use crate::http::connection::write_all;
 use crate::http::head::Framing;
-use crate::load::Sent;
+use crate::load::InFlightGuard;
 use crate::pool::Pool;
 use crate::servers::Server;
 
@@ -169,14 +169,14 @@
 /// Notes the first event of a stream.
 pub struct FirstEvent<'a> {
     /// The request at the server.
-    pub guard: &'a mut Sent,
+    pub guard: &'a mut InFlightGuard,
     /// When it was sent, if its prompt waited for no other one.
     pub sent_at: Option<BootInstant>,
 }
 
 impl FirstEvent<'_> {
     fn note(&mut self, forward: &ForwardedRequest<'_>) {
-        self.guard.first_event();
+        self.guard.record_first_event();
         let Some(sent_at) = self.sent_at.take() else { return };
         let Some(model) = &forward.facts.model else { return };
         let mut paces = forward.traffic.paces.borrow_mut();
--- a/crates/cometmoor-gateway/src/forward/send.rs
+++ b/crates/cometmoor-gateway/src/forward/send.rs
@@ -12,7 +12,7 @@
 use super::{ConnectionAction, ForwardedRequest};
 use crate::clock;
 use crate::dialect::RunCopy;
-use crate::load::PendingWork;
+use crate::load::PendingPrefill;
 use crate::servers::Server;
 
 /// What became of one send.
@@ -63,7 +63,7 @@
         let lent = match checkout {
             Ok(lent) => lent,
             Err(error) => {
-                server.note_unreachable(clock::now());
+                server.record_unreachable(clock::now());
                 self.log_failure("unreachable", "connect", &record.incarnation, &error.to_string());
                 return Sent::Unreachable;
             }
@@ -80,7 +80,7 @@
         };
         // Both may have changed while a connection or the permit was awaited.
         let is_quarantined = self.traffic.quarantine.is_quarantined(self.content);
-        if !server.takes_work() || is_quarantined {
+        if !server.accepts_requests() || is_quarantined {
             return Sent::Unreachable;
         }
         // A run that goes on from its copy was sent before.
@@ -92,10 +92,10 @@
         let waits_for_nobody = copy.is_none() && self.traffic.is_idle(&record.incarnation);
         let sent_at = waits_for_nobody.then(clock::now);
         let pending = match copy {
-            Some(_) => PendingWork::default(),
+            Some(_) => PendingPrefill::default(),
             None => self.pending_work(),
         };
-        let mut guard = self.traffic.loads.sent(&record.incarnation, pending);
+        let mut guard = self.traffic.loads.add_in_flight(&record.incarnation, pending);
         // A run that goes on from its copy is no further attempt.
         let note = |change: fn(&mut Attempts)| {
             if copy.is_none() {
@@ -117,7 +117,7 @@
                 return Sent::Unreachable;
             }
             Err(error) => {
-                server.note_failure(clock::now());
+                server.record_failure(clock::now());
                 self.note_broken(server, error.source());
                 return Sent::Failed(error);
             }
@@ -138,21 +138,21 @@
             let mut meter = FirstEvent { guard: &mut guard, sent_at };
             return self.relay_stream(server, received, stream, &mut meter).await;
         }
-        guard.first_event();
+        guard.record_first_event();
         self.relay_answer(server, received, stream).await
     }
 
     /// The prompt as work that waits at a server.
-    fn pending_work(&self) -> PendingWork {
-        PendingWork::of(self.reading(self.facts.prompt_tokens), self.urgency())
+    fn pending_work(&self) -> PendingPrefill {
+        PendingPrefill::of(self.reading(self.facts.prompt_tokens), self.urgency())
     }
 
     fn note_not_run(&self, server: &Server, misdirected: bool) {
         let now = clock::now();
         match (&self.facts.model, misdirected) {
-            (Some(model), true) => server.note_missing(model, now),
-            (None, true) => server.note_replaced(),
-            (_, false) => server.note_shed(now),
+            (Some(model), true) => server.record_missing(model, now),
+            (None, true) => server.mark_replaced(),
+            (_, false) => server.record_rejection(now),
         }
     }
 
@@ -177,7 +177,7 @@
                 if has_announced_end {
                     self.note_answered_well();
                 }
-                server.note_success(clock::now());
+                server.record_success(clock::now());
                 self.learn_stream(&stream.pauses);
                 self.log_stream_answered(&server.record().incarnation, &stream.pauses);
                 Sent::Finished(finish)
@@ -189,7 +189,7 @@
             }
             Err(RelayError::Moved(continuation)) => Sent::Moved(continuation),
             Err(RelayError::Server(error)) => {
-                server.note_failure(clock::now());
+                server.record_failure(clock::now());
                 self.note_broken(server, &error);
                 if stream.head_sent { Sent::Broken } else { Sent::Failed(SendError::Broken(error)) }
             }
@@ -210,7 +210,7 @@
         let collected = match relay::collect(&mut received).await {
             Ok(collected) => collected,
             Err(error) => {
-                server.note_failure(clock::now());
+                server.record_failure(clock::now());
                 self.note_broken(server, &error);
                 return Sent::Failed(SendError::Broken(error));
             }
@@ -222,14 +222,14 @@
         let has_announced_end = !received.decoder.ends_with_connection();
         let received = received.settle(&server.pool);
         if status < 500 {
-            server.note_success(clock::now());
+            server.record_success(clock::now());
             if has_announced_end {
                 self.note_answered_well();
             }
             self.log_answered(&server.record().incarnation, status);
             return Sent::Finished(self.pass_whole(received, collected.bytes).await);
         }
-        server.note_failure(clock::now());
+        server.record_failure(clock::now());
         self.log_failure(
             "server error",
             "answer",
--- a/crates/cometmoor-gateway/src/forward/server_selection.rs
+++ b/crates/cometmoor-gateway/src/forward/server_selection.rs
@@ -128,7 +128,7 @@
             return Found::Held { lasts, come_back };
         }
         let reachable: Vec<&Rc<Server>> =
-            able.iter().copied().filter(|server| !server.is_paused(now)).collect();
+            able.iter().copied().filter(|server| !server.is_backing_off(now)).collect();
         let servers = if reachable.is_empty() { able } else { reachable };
         let servers = self.without_eased(servers, now);
         let candidates: Vec<Candidate> =
@@ -166,7 +166,7 @@
         now: BootInstant,
     ) -> Vec<&'s Rc<Server>> {
         let takes_part = |server: &&Rc<Server>| {
-            let share = self.traffic.signals.eased_share(server.hash(), now);
+            let share = self.traffic.signals.slow_start_share(server.hash(), now);
             share >= 1.0 || share > self.draw(&server.record().id)
         };
         let part: Vec<&Rc<Server>> = servers.iter().copied().filter(takes_part).collect();
@@ -190,7 +190,7 @@
         let Some(model) = &self.facts.model else { return Refusal::NoServer };
         let base = ModelName { model: model.model.clone(), adapter: None };
         let holds =
-            |server: &Rc<Server>| server.takes_work() && server.holds(&base, placement, now);
+            |server: &Rc<Server>| server.accepts_requests() && server.holds(&base, placement, now);
         match servers.iter().any(holds) {
             true if model.adapter.is_some() => Refusal::NoAdapter,
             true => Refusal::ServerRefused,
@@ -205,8 +205,9 @@
         placement: &PlacementView,
         now: BootInstant,
     ) -> impl Iterator<Item = &'t Rc<Server>> {
-        let able =
-            move |server: &&Rc<Server>| server.takes_work() && self.is_able(server, placement, now);
+        let able = move |server: &&Rc<Server>| {
+            server.accepts_requests() && self.is_able(server, placement, now)
+        };
         servers.iter().filter(able)
     }
 
@@ -258,14 +259,14 @@
 
     pub(super) fn candidate(&self, server: &Server, now: BootInstant) -> Candidate {
         let record = server.record();
-        let own = self.traffic.loads.of(&record.incarnation);
+        let own = self.traffic.loads.server_load(&record.incarnation);
         let remote = self.traffic.board.remote_load.load();
         let load =
             own.plus(remote.get(&server_key(&record.incarnation)).copied().unwrap_or_default());
         Candidate {
             in_flight: load.in_flight,
-            pending_millis: load.pending.millis_ahead_of(self.urgency()),
-            backlog_millis: load.pending.millis(),
+            pending_millis: load.pending.millis_before(self.urgency()),
+            backlog_millis: load.pending.total_millis(),
             slots: record.slots,
             same_zone: record.zone == self.traffic.settings.zone,
             has_idle_connection: server.pool.has_idle(now),
--- a/crates/cometmoor-gateway/src/forward/traffic.rs
+++ b/crates/cometmoor-gateway/src/forward/traffic.rs
@@ -100,9 +100,9 @@
     /// Whether a prompt would wait for no other one at the server.
     pub(super) fn is_idle(&self, server: &str) -> bool {
         let remote = self.board.remote_load.load();
-        let load = self.loads.of(server);
+        let load = self.loads.server_load(server);
         let load = load.plus(remote.get(&server_key(server)).copied().unwrap_or_default());
-        load.pending.is_none() && load.in_flight < FEW_RUNNING
+        load.pending.is_zero() && load.in_flight < FEW_RUNNING
     }
 
     /// Takes a repeated send out of the fleet's budget.
--- a/crates/cometmoor-gateway/src/frontend.rs
+++ b/crates/cometmoor-gateway/src/frontend.rs
@@ -20,7 +20,7 @@
 use crate::http::body::BodyDecoder;
 use crate::http::connection::{closed, prepare, read_some, write_all};
 use crate::http::head::{Framing, HeadError, RequestHead, take_request};
-use crate::load::{RequestWork, model_key};
+use crate::load::{RequestDemand, model_key};
 use crate::published::{Phase, Published, age_millis};
 
 /// Pause after the listener failed.
@@ -92,7 +92,7 @@
             let limits = self.limits();
             match self.read_request(&limits).await {
                 Read::Request(request) => {
-                    let guard = self.traffic.loads.enter();
+                    let guard = self.traffic.loads.add_in_progress();
                     let finish = self.serve(*request).await;
                     drop(guard);
                     if finish != ConnectionAction::KeepAlive {
@@ -309,9 +309,9 @@
     let now = clock::now();
     let work = {
         let paces = traffic.paces.borrow();
-        RequestWork {
-            reading: paces.work(&model.model, facts.prompt_tokens),
-            running: paces.running(&model.model, facts.output_tokens),
+        RequestDemand {
+            prefill: paces.work(&model.model, facts.prompt_tokens),
+            slot_time: paces.running(&model.model, facts.output_tokens),
         }
     };
     traffic.loads.record_demand(model_key(&model.model, None), work, now);
--- a/crates/cometmoor-gateway/src/load.rs
+++ b/crates/cometmoor-gateway/src/load.rs
@@ -13,41 +13,43 @@
 /// Time that a server takes to read prompts, in microseconds, by the rank of
 /// the requests: servers admit the more urgent ones first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PendingWork {
+pub struct PendingPrefill {
     micros: [u64; RANKS],
 }
 
-impl PendingWork {
+impl PendingPrefill {
     /// Work of one request.
-    pub fn of(reading: Duration, urgency: u8) -> PendingWork {
+    pub fn of(reading: Duration, urgency: u8) -> PendingPrefill {
         let mut micros = [0; RANKS];
         micros[rank(urgency)] = u64::try_from(reading.as_micros()).unwrap_or(0);
-        PendingWork { micros }
+        PendingPrefill { micros }
     }
 
     /// The sum.
-    fn plus(self, other: PendingWork) -> PendingWork {
-        PendingWork { micros: std::array::from_fn(|rank| self.micros[rank] + other.micros[rank]) }
+    fn plus(self, other: PendingPrefill) -> PendingPrefill {
+        PendingPrefill {
+            micros: std::array::from_fn(|rank| self.micros[rank] + other.micros[rank]),
+        }
     }
 
     /// What is left without a part of it.
-    fn minus(self, part: PendingWork) -> PendingWork {
+    fn minus(self, part: PendingPrefill) -> PendingPrefill {
         let left = |rank: usize| self.micros[rank].saturating_sub(part.micros[rank]);
-        PendingWork { micros: std::array::from_fn(left) }
+        PendingPrefill { micros: std::array::from_fn(left) }
     }
 
     /// Whether nothing waits.
-    pub fn is_none(self) -> bool {
-        self == PendingWork::default()
+    pub fn is_zero(self) -> bool {
+        self == PendingPrefill::default()
     }
 
     /// Time that all of it takes, in milliseconds.
-    pub fn millis(self) -> f64 {
+    pub fn total_millis(self) -> f64 {
         self.micros.iter().sum::<u64>() as f64 / 1000.0
     }
 
     /// Time before a request of this urgency is read, in milliseconds.
-    pub fn millis_ahead_of(self, urgency: u8) -> f64 {
+    pub fn millis_before(self, urgency: u8) -> f64 {
         self.micros[..=rank(urgency)].iter().sum::<u64>() as f64 / 1000.0
     }
 }
@@ -62,7 +64,7 @@
     /// Requests sent and not finished.
     pub in_flight: u32,
     /// Prompts of those whose first event has not come.
-    pub pending: PendingWork,
+    pub pending: PendingPrefill,
 }
 
 impl ServerLoad {
@@ -109,7 +111,7 @@
     /// Requests.
     pub requests: u64,
     /// Time that a server takes to read their prompts, in microseconds.
-    pub work_micros: u64,
+    pub prefill_micros: u64,
     /// Time for which they are likely to hold a slot of a server's batch, in
     /// microseconds.
     pub slot_micros: u64,
@@ -117,11 +119,11 @@
 
 /// What one request is likely to take of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RequestWork {
+pub struct RequestDemand {
     /// Time to read its prompt.
-    pub reading: Duration,
+    pub prefill: Duration,
     /// Time for which it holds a slot of the batch.
-    pub running: Duration,
+    pub slot_time: Duration,
 }
 
 fn micros(time: Duration) -> u64 {
@@ -159,12 +161,12 @@
     }
 
     /// Load on one server.
-    pub fn of(&self, server: &str) -> ServerLoad {
+    pub fn server_load(&self, server: &str) -> ServerLoad {
         self.lock().servers.get(server).copied().unwrap_or_default()
     }
 
     /// Load on all servers that have any.
-    pub fn all(&self) -> Vec<(ServerKey, ServerLoad)> {
+    pub fn server_loads(&self) -> Vec<(ServerKey, ServerLoad)> {
         self.lock().servers.iter().map(|(id, load)| (server_key(id), *load)).collect()
     }
 
@@ -177,14 +179,14 @@
     }
 
     /// Notes that a model or adapter was asked for.
-    pub fn record_demand(&self, key: ModelKey, work: RequestWork, now: BootInstant) {
+    pub fn record_demand(&self, key: ModelKey, work: RequestDemand, now: BootInstant) {
         let fresh = NotedDemand { demand: ModelDemand::default(), changed: now };
         let mut board = self.lock();
         let noted = board.models.entry(key).or_insert(fresh);
         noted.changed = now;
         noted.demand.requests += 1;
-        noted.demand.work_micros += micros(work.reading);
-        noted.demand.slot_micros += micros(work.running);
+        noted.demand.prefill_micros += micros(work.prefill);
+        noted.demand.slot_micros += micros(work.slot_time);
     }
 
     /// Notes that a request waits for a model or adapter.
@@ -193,7 +195,7 @@
     }
 
     /// Models and adapters that requests waited for a moment ago.
-    pub fn waited_for(&self, now: BootInstant) -> Vec<ModelKey> {
+    pub fn awaited_models(&self, now: BootInstant) -> Vec<ModelKey> {
         let mut board = self.lock();
         board.waited_for.retain(|_, noted| now.since(*noted) < WAIT_TOLD_FOR);
         board.waited_for.keys().copied().collect()
@@ -205,28 +207,28 @@
     }
 
     /// Notes a client's request until the guard is dropped.
-    pub fn enter(&self) -> InProgress {
+    pub fn add_in_progress(&self) -> InProgressGuard {
         self.lock().in_progress += 1;
-        InProgress { board: self.clone() }
+        InProgressGuard { board: self.clone() }
     }
 
     /// Notes a request at a server until the guard is dropped.
-    pub fn sent(&self, server: &Arc<str>, pending: PendingWork) -> Sent {
+    pub fn add_in_flight(&self, server: &Arc<str>, pending: PendingPrefill) -> InFlightGuard {
         let mut board = self.lock();
         let load = board.servers.entry(server.clone()).or_default();
         load.in_flight += 1;
         load.pending = load.pending.plus(pending);
-        Sent { board: self.clone(), server: server.clone(), pending }
+        InFlightGuard { board: self.clone(), server: server.clone(), pending }
     }
 }
 
 /// A client's request in progress.
 #[derive(Debug)]
-pub struct InProgress {
+pub struct InProgressGuard {
     board: LoadBoard,
 }
 
-impl Drop for InProgress {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.board.lock().in_progress -= 1;
     }
@@ -234,17 +236,17 @@
 
 /// A request at a server.
 #[derive(Debug)]
-pub struct Sent {
+pub struct InFlightGuard {
     board: LoadBoard,
     server: Arc<str>,
-    pending: PendingWork,
+    pending: PendingPrefill,
 }
 
-impl Sent {
+impl InFlightGuard {
     /// Notes the first event: the prompt was read.
-    pub fn first_event(&mut self) {
+    pub fn record_first_event(&mut self) {
         let pending = std::mem::take(&mut self.pending);
-        if pending.is_none() {
+        if pending.is_zero() {
             return;
         }
         if let Some(load) = self.board.lock().servers.get_mut(&self.server) {
@@ -253,7 +255,7 @@
     }
 }
 
-impl Drop for Sent {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut board = self.board.lock();
         let Some(load) = board.servers.get_mut(&self.server) else { return };
--- a/crates/cometmoor-gateway/src/node.rs
+++ b/crates/cometmoor-gateway/src/node.rs
@@ -208,7 +208,7 @@
 async fn sweep_pools(traffic: Rc<TrafficContext>) {
     loop {
         clock::sleep(POOL_SWEEP).await;
-        traffic.servers.borrow().close_old_connections(clock::now());
+        traffic.servers.borrow().close_idle_connections(clock::now());
     }
 }
 
--- a/crates/cometmoor-gateway/src/servers.rs
+++ b/crates/cometmoor-gateway/src/servers.rs
@@ -74,11 +74,11 @@
 
 /// A request whose connection to a server ended before its answer did.
 #[derive(Clone, Debug)]
-pub struct BrokenRequest {
+pub struct InterruptedRequest {
     /// Its content.
     pub content: Fingerprint,
     /// Identifier of the attempt.
-    pub request: String,
+    pub request_id: String,
 }
 
 /// One incarnation of a server.
@@ -89,7 +89,7 @@
     /// Connections to it.
     pub pool: Pool,
     /// Calls beside the requests.
-    pub calls: CallClient,
+    pub call_client: CallClient,
     gone: Cell<bool>,
     paused_until: Cell<Option<BootInstant>>,
     pauses: Cell<u32>,
@@ -99,7 +99,7 @@
     failure_noted: Cell<BootInstant>,
     missing: RefCell<HashMap<ModelKey, Missing>>,
     /// Requests that broke while it is not known whether the server has ended.
-    broken: RefCell<Vec<BrokenRequest>>,
+    broken: RefCell<Vec<InterruptedRequest>>,
     /// Whether a probe has been answered since the first of them.
     is_probed: Cell<bool>,
     probed: Notify,
@@ -108,13 +108,13 @@
 impl Server {
     fn new(record: Arc<ServerRecord>, signals: SignalBoard) -> Server {
         let pool = Pool::new(record.address);
-        let calls = CallClient::new(record.address);
+        let call_client = CallClient::new(record.address);
         Server {
             hash: IncarnationHash::of(&record.incarnation),
             record: RefCell::new(record),
             signals,
             pool,
-            calls,
+            call_client,
             gone: Cell::new(false),
             paused_until: Cell::new(None),
             pauses: Cell::new(0),
@@ -139,13 +139,13 @@
     }
 
     /// Whether it may get new work, by the registry and by its own answers.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         let is_ready = self.record.borrow().state == ServerState::Ready;
         !self.gone.get() && is_ready && !self.signals.is_leaving(self.hash)
     }
 
     /// Whether others are preferred: it could not be reached, or turned requests away.
-    pub fn is_paused(&self, now: BootInstant) -> bool {
+    pub fn is_backing_off(&self, now: BootInstant) -> bool {
         self.paused_until.get().is_some_and(|until| now < until)
     }
 
@@ -163,7 +163,7 @@
     }
 
     /// Notes a good answer.
-    pub fn note_success(&self, now: BootInstant) {
+    pub fn record_success(&self, now: BootInstant) {
         self.note(now, 0.0);
         self.paused_until.set(None);
         self.pauses.set(0);
@@ -171,13 +171,13 @@
     }
 
     /// Notes an answer that tells of a failure, or a broken one.
-    pub fn note_failure(&self, now: BootInstant) {
+    pub fn record_failure(&self, now: BootInstant) {
         self.note(now, 1.0);
     }
 
     /// Notes that it turned a request away, and prefers others for a while.
-    pub fn note_shed(&self, now: BootInstant) {
-        if self.is_paused(now) {
+    pub fn record_rejection(&self, now: BootInstant) {
+        if self.is_backing_off(now) {
             return;
         }
         let pause = FIRST_SHED_PAUSE * (1 << self.sheds.get().min(8));
@@ -186,7 +186,7 @@
     }
 
     /// Notes that it could not be reached, and leaves it alone for a while.
-    pub fn note_unreachable(&self, now: BootInstant) {
+    pub fn record_unreachable(&self, now: BootInstant) {
         self.note(now, 1.0);
         let pause = FIRST_PAUSE * (1 << self.pauses.get().min(4));
         self.pauses.set(self.pauses.get() + 1);
@@ -195,7 +195,7 @@
     }
 
     /// Notes a request that broke; tells whether it is the first since they were taken.
-    pub fn note_broken(&self, request: BrokenRequest) -> bool {
+    pub fn record_interrupted(&self, request: InterruptedRequest) -> bool {
         let mut broken = self.broken.borrow_mut();
         broken.push(request);
         let is_first = broken.len() == 1;
@@ -206,32 +206,32 @@
     }
 
     /// Takes the requests that broke.
-    pub fn take_broken(&self) -> Vec<BrokenRequest> {
+    pub fn take_interrupted(&self) -> Vec<InterruptedRequest> {
         self.broken.take()
     }
 
     /// Notes that a probe has told whether the server takes connections.
-    pub fn note_probed(&self) {
+    pub fn record_probe(&self) {
         self.is_probed.set(true);
         self.probed.notify_waiters();
     }
 
     /// Waits until a probe has told whether the server takes connections, where requests
     /// broke there.
-    pub async fn probed(&self) {
+    pub async fn wait_for_probe(&self) {
         while !self.is_probed.get() {
             self.probed.notified().await;
         }
     }
 
     /// Notes that the incarnation is no longer at its address.
-    pub fn note_replaced(&self) {
+    pub fn mark_replaced(&self) {
         self.gone.set(true);
         self.pool.close_all();
     }
 
     /// Notes that the server said it does not hold the model or adapter.
-    pub fn note_missing(&self, model: &ModelName, now: BootInstant) {
+    pub fn record_missing(&self, model: &ModelName, now: BootInstant) {
         let key = model_key(&model.model, model.adapter.as_deref());
         let mut missing = self.missing.borrow_mut();
         let known = missing.get(&key).map(|known| known.again(now));
@@ -327,7 +327,7 @@
     }
 
     /// Closes connections that have rested for too long.
-    pub fn close_old_connections(&self, now: BootInstant) {
+    pub fn close_idle_connections(&self, now: BootInstant) {
         for server in self.by_incarnation.values() {
             server.pool.close_old(now);
         }
--- a/crates/cometmoor-gateway/src/signals.rs
+++ b/crates/cometmoor-gateway/src/signals.rs
@@ -34,7 +34,7 @@
 
     /// Takes what an answer says of its server, and whether other nodes are to hear of it.
     /// `sent` is when its request was.
-    pub fn note_answer(
+    pub fn note_response(
         &self,
         incarnation: &str,
         request: &str,
@@ -93,7 +93,7 @@
     }
 
     /// Share of this node's requests that a server takes part in the choice for.
-    pub fn eased_share(&self, server: IncarnationHash, now: BootInstant) -> f64 {
+    pub fn slow_start_share(&self, server: IncarnationHash, now: BootInstant) -> f64 {
         self.with(|table, _| table.slow_start_share(server, now))
     }
 
--- a/crates/cometmoor-gateway/tests/membership.rs
+++ b/crates/cometmoor-gateway/tests/membership.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddrV4;
 
 use cometmoor_core::time::Timestamp;
-use cometmoor_gateway::load::{PendingWork, ServerLoad};
+use cometmoor_gateway::load::{PendingPrefill, ServerLoad};
 
 use world::{Node, SERVER, World, address, zone_of};
 
@@ -55,7 +55,7 @@
 fn nodes_with_wrong_load(world: &World) -> Vec<String> {
     let now = Timestamp(world.now);
     let others = world.nodes.len() as u32 - 1;
-    let told = [(SERVER, ServerLoad { in_flight: 1, pending: PendingWork::default() })];
+    let told = [(SERVER, ServerLoad { in_flight: 1, pending: PendingPrefill::default() })];
     let check = |(own, node): (&SocketAddrV4, &Node)| {
         let load: HashMap<u32, ServerLoad> = node.membership.load(&told, now);
         let in_flight = load.get(&SERVER).map_or(0, |load| load.in_flight);
--- a/crates/cometmoor-gateway/tests/servers.rs
+++ b/crates/cometmoor-gateway/tests/servers.rs
@@ -51,8 +51,8 @@
         now = now + Duration::from_millis(100);
         if server.holds(&model, &view, now) {
             tries += 1;
-            server.note_missing(&model, now);
-            server.note_missing(&model, now);
+            server.record_missing(&model, now);
+            server.record_missing(&model, now);
         }
     }
     assert!((4..=6).contains(&tries), "{tries} tries in 20 s; 28 with a pause of 0.7 s");
--- a/crates/cometmoor-gateway/tests/world/mod.rs
+++ b/crates/cometmoor-gateway/tests/world/mod.rs
@@ -9,7 +9,7 @@
 use cometmoor_core::gateway::quarantine::Quarantine;
 use cometmoor_core::gateway::signals::SignalTable;
 use cometmoor_core::time::{BootInstant, Timestamp};
-use cometmoor_gateway::load::{PendingWork, ServerLoad};
+use cometmoor_gateway::load::{PendingPrefill, ServerLoad};
 use cometmoor_gateway::membership::{
     CopyVersions, Heartbeat, Member, Membership, Message, PeerChange, PeerPhase, Placement,
 };
@@ -167,7 +167,7 @@
         let node = self.nodes.get_mut(&own).unwrap();
         node.sequence += 1;
         let tells_load = !self.leaves_load_out || node.sequence.is_multiple_of(2);
-        let load = ServerLoad { in_flight: node.load, pending: PendingWork::default() };
+        let load = ServerLoad { in_flight: node.load, pending: PendingPrefill::default() };
         let first = u32::from(u16::from_be_bytes([own.ip().octets()[2], own.ip().octets()[3]]));
         let loaded = (0..servers.min(LOADED)).map(|place| SERVER + (first + place) % servers);
         let loads = loaded.map(|server| (server, load)).collect();
--- a/crates/cometmoor-lab/src/emulator/fleet.rs
+++ b/crates/cometmoor-lab/src/emulator/fleet.rs
@@ -4,7 +4,7 @@
 
 use cometmoor_core::gateway::admission::can_answer_in_time;
 use cometmoor_core::gateway::selection::{Candidate, CostModel, RequestProfile, select};
-use cometmoor_gateway::load::{PendingWork, ServerLoad};
+use cometmoor_gateway::load::{PendingPrefill, ServerLoad};
 use cometmoor_gateway::pace::PaceTable;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -131,8 +131,8 @@
         };
         Candidate {
             in_flight: load.in_flight,
-            pending_millis: load.pending.millis_ahead_of(scenario.kinds[arrival.kind].priority),
-            backlog_millis: load.pending.millis(),
+            pending_millis: load.pending.millis_before(scenario.kinds[arrival.kind].priority),
+            backlog_millis: load.pending.total_millis(),
             slots: scenario.engines.slots as u32,
             same_zone: true,
             has_idle_connection: true,
@@ -163,7 +163,7 @@
         let paces = &self.nodes[arrival.node].paces;
         let reading = paces.work(&model_name(arrival.model), arrival.prompt_tokens);
         let priority = scenario.kinds[arrival.kind].priority;
-        ServerLoad { in_flight: 1, pending: PendingWork::of(reading, priority) }
+        ServerLoad { in_flight: 1, pending: PendingPrefill::of(reading, priority) }
     }
 }
 
