--- a/crates/cometmoor-gateway/src/control/campaign.rs
+++ b/crates/cometmoor-gateway/src/control/campaign.rs
@@ -78,7 +78,7 @@
     only_own: bool,
 ) -> Result<Option<Term>, StoreError> {
     let found = leader.context().store.read_within(LEADERSHIP_PREFIX, READ_TIME).await?;
-    let era = found.at.era;
+    let era = found.position.era;
     let keys = LeadershipKeys::of(era);
     let holder = found.items.get(&keys.holder);
     let last = found.items.get(&keys.last);
--- a/crates/cometmoor-gateway/src/control/fleet/copies.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/copies.rs
@@ -133,7 +133,7 @@
 
     /// What a copy as of `after` lacks, as sent to peers; none where nothing was read.
     pub(super) fn encoded_since(&mut self, after: StorePosition) -> Option<Bytes> {
-        let at = self.mirror.at;
+        let at = self.mirror.position;
         let known = self.encoded.as_ref().filter(|known| (known.at, known.after) == (at, after));
         if let Some(known) = known {
             return Some(known.bytes.clone());
@@ -141,7 +141,7 @@
         if !self.mirror.exists() {
             return None;
         }
-        let bytes = Bytes::from(encode_update(&self.mirror.since(after)));
+        let bytes = Bytes::from(encode_update(&self.mirror.changes_since(after)));
         self.encoded = Some(EncodedUpdate { at, after, bytes: bytes.clone() });
         Some(bytes)
     }
@@ -149,13 +149,13 @@
     /// Takes what leads on from this copy, the store's or a peer's; tells whether an item
     /// changed.
     pub(super) fn update(&mut self, subject: StorePrefix, update: MirrorUpdate) -> bool {
-        let (before, item_before) = (self.mirror.at, numbered_item(&self.mirror));
-        let changed = self.mirror.update(update);
+        let (before, item_before) = (self.mirror.position, numbered_item(&self.mirror));
+        let changed = self.mirror.apply_update(update);
         if changed {
             self.encoded = None;
         }
-        if before.era != self.mirror.at.era {
-            let first_revision = self.mirror.at.revision;
+        if before.era != self.mirror.position.era {
+            let first_revision = self.mirror.position.revision;
             self.restored = Some(RestoredCopy { first_revision, before: item_before });
             self.log_new_era(subject, before);
         }
@@ -171,7 +171,7 @@
     fn log_new_era(&self, subject: StorePrefix, before: StorePosition) {
         if before.revision > 0 {
             let (what, age_millis) = (subject.name(), self.age_millis());
-            let (at, before) = (self.mirror.at.to_string(), before.to_string());
+            let (at, before) = (self.mirror.position.to_string(), before.to_string());
             let items = self.mirror.items.len();
             info!("[store] a copy of a new era replaces the one before", kv: { what, at, before, items, age_millis });
         }
@@ -179,14 +179,14 @@
 
     /// Whether a peer is known to have a newer copy.
     pub(super) fn is_known_behind(&self) -> bool {
-        self.behind.is_some_and(|behind| behind.at == self.mirror.at)
+        self.behind.is_some_and(|behind| behind.at == self.mirror.position)
     }
 
     /// Notes that a peer has a newer copy; whether one has had it for so long
     /// while this copy stood still. A watch that the store has forgotten, or
     /// whose answer a partition holds up, does not fail for many seconds.
     fn is_behind_for(&mut self, span: Duration) -> bool {
-        let (at, now) = (self.mirror.at, clock::now());
+        let (at, now) = (self.mirror.position, clock::now());
         match self.behind {
             Some(behind) if behind.at == at => now.since(behind.since) >= span,
             _ => {
@@ -220,7 +220,7 @@
     pub(super) fn catch_up(&mut self, peer: &PeerCopies, context: &mut Context<FleetState>) {
         let told = peer.versions;
         if told.servers.revision > 0 {
-            self.context.store.eras().note_peer(told.servers.era);
+            self.context.store.eras().note_peer_era(told.servers.era);
         }
         let patience = self.patience();
         let newer = [
@@ -231,7 +231,7 @@
             ),
             (
                 StorePrefix::Servers,
-                told.servers > self.copies[&StorePrefix::Servers].mirror.at,
+                told.servers > self.copies[&StorePrefix::Servers].mirror.position,
                 told.servers_age,
             ),
         ];
@@ -300,7 +300,7 @@
         // A configuration is one item, and its newest version need not be the store's.
         let after = match subject {
             StorePrefix::Configuration => StorePosition::default(),
-            StorePrefix::Servers => self.copies[&subject].mirror.at,
+            StorePrefix::Servers => self.copies[&subject].mirror.position,
         };
         actix_rt::spawn(async move {
             let result = fetch_update(peer, subject, after).await;
@@ -337,7 +337,7 @@
         copy.fetching = false;
         let Some(update) = answer.update else { return };
         if copy.update(answer.subject, update) {
-            let (what, at) = (answer.subject.name(), copy.mirror.at.to_string());
+            let (what, at) = (answer.subject.name(), copy.mirror.position.to_string());
             info!("[peers] a newer copy was taken", kv: { what, peer = answer.peer.to_string(), at });
             self.take_in(answer.subject);
             if answer.subject == StorePrefix::Configuration {
--- a/crates/cometmoor-gateway/src/control/fleet/entries.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/entries.rs
@@ -61,13 +61,13 @@
         until_now: &ServersByIncarnation,
     ) -> EffectiveServers {
         let now = clock::now();
-        let is_restored = !self.readable.is_empty() && self.era < copy.at.era;
+        let is_restored = !self.readable.is_empty() && self.era < copy.position.era;
         if is_restored {
-            self.restored.note_restore(until_now.clone(), copy.at.revision, now);
+            self.restored.note_restore(until_now.clone(), copy.position.revision, now);
         }
         let entries = self.read(copy, dialect, configuration);
         let prefix = dialect.servers_prefix();
-        let ended = copy.gone().filter_map(|key| key.strip_prefix(prefix)).collect();
+        let ended = copy.removed_keys().filter_map(|key| key.strip_prefix(prefix)).collect();
         let believed = self.restored.effective_servers(entries, &ended, now);
         if is_restored {
             log_restore(&believed);
@@ -92,7 +92,7 @@
         };
         let mut readable = HashMap::with_capacity(copy.items.len());
         let mut ignored = HashMap::new();
-        let same_era = self.era == copy.at.era;
+        let same_era = self.era == copy.position.era;
         for (key, item) in &copy.items {
             let revision = item.revision;
             let is_same = |known: &&ServerEntry| same_era && known.revision == revision;
@@ -103,11 +103,8 @@
             };
             let reason = match parsed {
                 Ok(record) if is_configured(&record) => {
-                    let created = item.created;
-                    readable.insert(
-                        key.clone(),
-                        ServerEntry { revision, create_revision: created, record },
-                    );
+                    let create_revision = item.create_revision;
+                    readable.insert(key.clone(), ServerEntry { revision, create_revision, record });
                     continue;
                 }
                 Ok(record) => format!("service {:?} is not configured", record.service),
@@ -119,7 +116,7 @@
         self.ignored = ignored;
         let servers = without_replaced(&readable);
         self.readable = readable;
-        self.era = copy.at.era;
+        self.era = copy.position.era;
         servers
     }
 
--- a/crates/cometmoor-gateway/src/control/fleet/messages.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/messages.rs
@@ -32,83 +32,84 @@
 /// A full read of a prefix.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct CopyRead {
+pub struct ReadCompleted {
     /// Which prefix.
-    pub subject: StorePrefix,
+    pub prefix: StorePrefix,
     /// What was read.
     pub mirror: Mirror,
     /// Point that the copy was of when the store was asked.
-    pub known: StorePosition,
+    pub known_position: StorePosition,
     /// When the store was asked.
-    pub asked: BootInstant,
+    pub requested_at: BootInstant,
 }
 
-impl Handler<CopyRead> for FleetState {
+impl Handler<ReadCompleted> for FleetState {
     type Result = ();
 
-    fn handle(&mut self, mut read: CopyRead, _: &mut Context<FleetState>) {
-        read.mirror.at = self.context.store.eras().classify_read(read.mirror.at, read.known);
-        let (subject, era) = (read.subject, read.mirror.at.era);
+    fn handle(&mut self, mut read: ReadCompleted, _: &mut Context<FleetState>) {
+        read.mirror.position =
+            self.context.store.eras().classify_read(read.mirror.position, read.known_position);
+        let (subject, era) = (read.prefix, read.mirror.position.era);
         let copy = self.copy(subject);
         copy.confirm(subject);
-        if copy.update(subject, MirrorUpdate::Whole(read.mirror)) {
+        if copy.update(subject, MirrorUpdate::Full(read.mirror)) {
             self.take_in(subject);
         }
-        self.prove(subject, era, read.asked);
+        self.prove(subject, era, read.requested_at);
     }
 }
 
 /// Changes that a watch told.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct CopyChanged {
+pub struct ChangesReceived {
     /// Which prefix.
-    pub subject: StorePrefix,
+    pub prefix: StorePrefix,
     /// Changes in order; none where there were none.
     pub events: Vec<WatchEvent>,
     /// Era of the store that they are of.
     pub era: StoreEra,
     /// When the store was asked.
-    pub asked: BootInstant,
+    pub requested_at: BootInstant,
 }
 
-impl Handler<CopyChanged> for FleetState {
+impl Handler<ChangesReceived> for FleetState {
     type Result = ();
 
-    fn handle(&mut self, changed: CopyChanged, _: &mut Context<FleetState>) {
-        let copy = self.copy(changed.subject);
-        if copy.mirror.at.era != changed.era {
+    fn handle(&mut self, changed: ChangesReceived, _: &mut Context<FleetState>) {
+        let copy = self.copy(changed.prefix);
+        if copy.mirror.position.era != changed.era {
             // A peer has brought a copy of a newer era meanwhile.
             return;
         }
-        copy.confirm(changed.subject);
-        if copy.mirror.apply(changed.events) {
-            self.take_in(changed.subject);
+        copy.confirm(changed.prefix);
+        if copy.mirror.apply_events(changed.events) {
+            self.take_in(changed.prefix);
             // Nodes that do not read the store learn of it by the heartbeat.
             self.context.board.heartbeat_wanted.notify_one();
         }
-        self.prove(changed.subject, changed.era, changed.asked);
+        self.prove(changed.prefix, changed.era, changed.requested_at);
     }
 }
 
 /// The store did not answer a watch or a read.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct CopyFailed {
+pub struct StoreCallFailed {
     /// Which prefix.
-    pub subject: StorePrefix,
+    pub prefix: StorePrefix,
     /// What happened.
     pub reason: String,
 }
 
-impl Handler<CopyFailed> for FleetState {
+impl Handler<StoreCallFailed> for FleetState {
     type Result = ();
 
-    fn handle(&mut self, failed: CopyFailed, _: &mut Context<FleetState>) {
-        let copy = self.copy(failed.subject);
+    fn handle(&mut self, failed: StoreCallFailed, _: &mut Context<FleetState>) {
+        let copy = self.copy(failed.prefix);
         if !copy.watch_failing {
             let age_millis = copy.age_millis();
-            let what = failed.subject.name();
+            let what = failed.prefix.name();
             warn!("[store] does not answer; peers are asked", kv: { step = "watch", what, reason = failed.reason, age_millis });
         }
         copy.watch_failing = true;
@@ -118,12 +119,12 @@
 /// A datagram of another node.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct PeerTold(pub PeerMessage);
+pub struct PeerMessageReceived(pub PeerMessage);
 
-impl Handler<PeerTold> for FleetState {
+impl Handler<PeerMessageReceived> for FleetState {
     type Result = ();
 
-    fn handle(&mut self, told: PeerTold, context: &mut Context<FleetState>) {
+    fn handle(&mut self, told: PeerMessageReceived, context: &mut Context<FleetState>) {
         match told.0 {
             PeerMessage::Heartbeat(heartbeat) => {
                 self.take_heartbeat(heartbeat, context, Membership::receive_heartbeat);
@@ -265,12 +266,12 @@
 /// Begins the planned stop: the node says that it is leaving.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct BeginStop(pub ShutdownTimes);
+pub struct BeginShutdown(pub ShutdownTimes);
 
-impl Handler<BeginStop> for FleetState {
+impl Handler<BeginShutdown> for FleetState {
     type Result = ();
 
-    fn handle(&mut self, begin: BeginStop, _: &mut Context<FleetState>) {
+    fn handle(&mut self, begin: BeginShutdown, _: &mut Context<FleetState>) {
         self.phase = Phase::Draining;
         self.stop = Some(begin.0);
         self.publish();
@@ -280,12 +281,12 @@
 /// Ends the taking of requests.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct CloseToClients;
+pub struct StopAcceptingRequests;
 
-impl Handler<CloseToClients> for FleetState {
+impl Handler<StopAcceptingRequests> for FleetState {
     type Result = ();
 
-    fn handle(&mut self, _: CloseToClients, _: &mut Context<FleetState>) {
+    fn handle(&mut self, _: StopAcceptingRequests, _: &mut Context<FleetState>) {
         self.phase = Phase::Closing;
         self.publish();
     }
@@ -297,7 +298,7 @@
 #[rtype(result = "Option<Bytes>")]
 pub struct GetUpdate {
     /// Which prefix.
-    pub subject: StorePrefix,
+    pub prefix: StorePrefix,
     /// The point.
     pub after: StorePosition,
 }
@@ -306,7 +307,7 @@
     type Result = MessageResult<GetUpdate>;
 
     fn handle(&mut self, get: GetUpdate, _: &mut Context<FleetState>) -> Self::Result {
-        MessageResult(self.copy(get.subject).encoded_since(get.after))
+        MessageResult(self.copy(get.prefix).encoded_since(get.after))
     }
 }
 
@@ -320,7 +321,7 @@
 
     fn handle(&mut self, get: GetNextCall, _: &mut Context<FleetState>) -> Self::Result {
         let next = self.staleness.next_call(&self.copy_view(get.0));
-        MessageResult((next, self.copies[&get.0].mirror.at))
+        MessageResult((next, self.copies[&get.0].mirror.position))
     }
 }
 
@@ -333,19 +334,19 @@
     type Result = MessageResult<GetPosition>;
 
     fn handle(&mut self, get: GetPosition, _: &mut Context<FleetState>) -> Self::Result {
-        MessageResult(self.copies[&get.0].mirror.at)
+        MessageResult(self.copies[&get.0].mirror.position)
     }
 }
 
 /// Asks how long an open watch of a copy may go on saying nothing.
 #[derive(Message)]
 #[rtype(result = "Duration")]
-pub struct GetPatienceLeft(pub StorePrefix);
+pub struct GetTimeUntilRefresh(pub StorePrefix);
 
-impl Handler<GetPatienceLeft> for FleetState {
-    type Result = MessageResult<GetPatienceLeft>;
+impl Handler<GetTimeUntilRefresh> for FleetState {
+    type Result = MessageResult<GetTimeUntilRefresh>;
 
-    fn handle(&mut self, get: GetPatienceLeft, _: &mut Context<FleetState>) -> Self::Result {
+    fn handle(&mut self, get: GetTimeUntilRefresh, _: &mut Context<FleetState>) -> Self::Result {
         MessageResult(self.staleness.time_until_refresh(&self.copy_view(get.0)))
     }
 }
@@ -354,12 +355,12 @@
 /// many failures before the last one.
 #[derive(Message)]
 #[rtype(result = "Duration")]
-pub struct GetRetryPause(pub StorePrefix, pub u32);
+pub struct GetRetryDelay(pub StorePrefix, pub u32);
 
-impl Handler<GetRetryPause> for FleetState {
-    type Result = MessageResult<GetRetryPause>;
+impl Handler<GetRetryDelay> for FleetState {
+    type Result = MessageResult<GetRetryDelay>;
 
-    fn handle(&mut self, get: GetRetryPause, _: &mut Context<FleetState>) -> Self::Result {
+    fn handle(&mut self, get: GetRetryDelay, _: &mut Context<FleetState>) -> Self::Result {
         MessageResult(self.staleness.retry_delay(get.1, &self.copy_view(get.0)))
     }
 }
@@ -370,7 +371,7 @@
     /// Read it from the store.
     Read,
     /// Wait for a peer's copy.
-    LeaveToPeers,
+    WaitForPeers,
     /// A peer's copy has come.
     HasCopy,
 }
@@ -390,7 +391,7 @@
         MessageResult(match (has_copy, knows_others && self.reads(get.0)) {
             (true, _) => ReadPlan::HasCopy,
             (false, true) => ReadPlan::Read,
-            (false, false) => ReadPlan::LeaveToPeers,
+            (false, false) => ReadPlan::WaitForPeers,
         })
     }
 }
@@ -419,9 +420,9 @@
     /// The time that its rates are asked for.
     pub now: Timestamp,
     /// When the first request was counted.
-    pub first_demand: Option<Timestamp>,
+    pub first_request: Option<Timestamp>,
     /// Models and adapters that requests wait for now.
-    pub waited_for: HashSet<ModelKey>,
+    pub awaited_models: HashSet<ModelKey>,
 }
 
 /// Asks for the demand over the fleet.
@@ -434,11 +435,11 @@
 
     fn handle(&mut self, _: GetDemand, _: &mut Context<FleetState>) -> Self::Result {
         let rates = self.demand.rates().clone();
-        let first_demand = self.demand.first_request();
+        let first_request = self.demand.first_request();
         let now = self.now();
-        let mut waited_for = self.peers.awaited_models(now);
-        waited_for.extend(self.context.loads.waited_for(clock::now()));
-        MessageResult(DemandView { rates, now, first_demand, waited_for })
+        let mut awaited_models = self.peers.awaited_models(now);
+        awaited_models.extend(self.context.loads.waited_for(clock::now()));
+        MessageResult(DemandView { rates, now, first_request, awaited_models })
     }
 }
 
@@ -446,12 +447,12 @@
 /// store answers.
 #[derive(Message)]
 #[rtype(result = "Vec<SocketAddrV4>")]
-pub struct GetPeers;
+pub struct GetPeersReachingStore;
 
-impl Handler<GetPeers> for FleetState {
-    type Result = MessageResult<GetPeers>;
+impl Handler<GetPeersReachingStore> for FleetState {
+    type Result = MessageResult<GetPeersReachingStore>;
 
-    fn handle(&mut self, _: GetPeers, _: &mut Context<FleetState>) -> Self::Result {
+    fn handle(&mut self, _: GetPeersReachingStore, _: &mut Context<FleetState>) -> Self::Result {
         let members = self.peers.members().iter().filter(|member| !member.entry.store_fails);
         // Those that read the store are known to be answered by it.
         let (readers, others): (Vec<&Member>, Vec<&Member>) =
--- a/crates/cometmoor-gateway/src/control/fleet/mod.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/mod.rs
@@ -25,9 +25,10 @@
 use self::copies::Copy;
 use self::entries::ServerEntries;
 pub use self::messages::{
-    BeginStop, CloseToClients, ContactsFound, CopyChanged, CopyFailed, CopyRead, DemandView,
-    GetDemand, GetNextCall, GetNextMessages, GetPatienceLeft, GetPeers, GetPosition, GetReadPlan,
-    GetRetryPause, GetUpdate, NextMessages, PeerTold, ReadPlan, SetPlacement,
+    BeginShutdown, ChangesReceived, ContactsFound, DemandView, GetDemand, GetNextCall,
+    GetNextMessages, GetPeersReachingStore, GetPosition, GetReadPlan, GetRetryDelay,
+    GetTimeUntilRefresh, GetUpdate, NextMessages, PeerMessageReceived, ReadCompleted, ReadPlan,
+    SetPlacement, StopAcceptingRequests, StoreCallFailed,
 };
 pub use self::proofs::GetProof;
 use super::ControlContext;
@@ -268,7 +269,7 @@
         CopyVersions {
             configuration: self.configuration.version(),
             configuration_age: self.copies[&StorePrefix::Configuration].told_age(),
-            servers: self.copies[&StorePrefix::Servers].mirror.at,
+            servers: self.copies[&StorePrefix::Servers].mirror.position,
             servers_age: self.copies[&StorePrefix::Servers].told_age(),
         }
     }
@@ -283,7 +284,7 @@
         let copy = &self.copies[&subject];
         CopyView {
             exists: copy.mirror.exists(),
-            is_superseded: copy.mirror.at.era < self.context.store.eras().newest(),
+            is_superseded: copy.mirror.position.era < self.context.store.eras().newest(),
             is_reader: self.reads(subject),
             preceding_nodes: self.peers.preceding_nodes(),
             is_small_fleet: self.peers.is_small_fleet(),
--- a/crates/cometmoor-gateway/src/control/fleet/proofs.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/proofs.rs
@@ -42,7 +42,7 @@
         let own_version = self.configuration.version();
         let at = self.proof_requests.handle_answer(answer.number, proof, own_version);
         if let Some(at) = at {
-            self.context.store.eras().note_peer(answer.era);
+            self.context.store.eras().note_peer_era(answer.era);
             self.prove(StorePrefix::Configuration, answer.era, at);
         }
     }
@@ -60,7 +60,7 @@
 
     /// Whether the store proves by an answer that the configuration in force is the newest.
     fn proof_counts(&self, era: StoreEra, at: BootInstant) -> bool {
-        let restored = self.context.store.eras().restored();
+        let restored = self.context.store.eras().latest_restore();
         let copy = &self.copies[&StorePrefix::Configuration];
         let Some(item) = copy.mirror.items.get(self.context.dialect.configuration_key()) else {
             return false;
@@ -73,7 +73,7 @@
     /// Time left until the store is to be asked for a proof; none where no key depends on it,
     /// or where the store cannot prove anything now.
     pub(super) fn time_until_proof_refresh(&self) -> Option<Duration> {
-        let era = self.copies[&StorePrefix::Configuration].mirror.at.era;
+        let era = self.copies[&StorePrefix::Configuration].mirror.position.era;
         if !self.proof_counts(era, clock::now()) {
             return None;
         }
@@ -86,7 +86,7 @@
         ProofAnswer {
             number,
             configuration: self.configuration.version(),
-            era: self.copies[&StorePrefix::Configuration].mirror.at.era,
+            era: self.copies[&StorePrefix::Configuration].mirror.position.era,
             age_millis: self.configuration_proven().and_then(millis),
         }
     }
--- a/crates/cometmoor-gateway/src/control/heartbeat.rs
+++ b/crates/cometmoor-gateway/src/control/heartbeat.rs
@@ -9,7 +9,7 @@
 use tokio::net::UdpSocket;
 
 use super::ControlContext;
-use super::fleet::{FleetState, GetNextMessages, GetProof, PeerTold};
+use super::fleet::{FleetState, GetNextMessages, GetProof, PeerMessageReceived};
 use crate::clock;
 use crate::control_traffic::TrafficKind;
 use crate::membership::{Message, ProofRequest};
@@ -76,7 +76,7 @@
                     request,
                 ));
             }
-            Some(message) => fleet.do_send(PeerTold(message)),
+            Some(message) => fleet.do_send(PeerMessageReceived(message)),
             None => {}
         }
     }
--- a/crates/cometmoor-gateway/src/control/leader/mod.rs
+++ b/crates/cometmoor-gateway/src/control/leader/mod.rs
@@ -30,7 +30,7 @@
 use self::announcements::Announcements;
 use self::engine::{Engine, Withdrawal, believed_weights, fresh_models, leaving_weights};
 use super::ControlContext;
-use super::fleet::{FleetState, GetDemand, GetPeers, SetPlacement};
+use super::fleet::{FleetState, GetDemand, GetPeersReachingStore, SetPlacement};
 use crate::clock;
 use crate::load::model_key;
 use crate::membership::Placement;
@@ -155,7 +155,7 @@
 
     /// Nodes that were heard lately.
     pub(super) async fn peers(&self) -> Vec<SocketAddrV4> {
-        self.fleet.send(GetPeers).await.unwrap_or_default()
+        self.fleet.send(GetPeersReachingStore).await.unwrap_or_default()
     }
 
     /// Notes that this node got the lease.
@@ -193,7 +193,7 @@
         let is_fresh =
             self.context.settings.fresh_fleet && clock::elapsed(self.started) < FLEET_IS_FRESH_FOR;
         CandidateContext {
-            fleet_began_in_era: is_fresh && self.context.store.eras().restored().is_none(),
+            fleet_began_in_era: is_fresh && self.context.store.eras().latest_restore().is_none(),
             own_term_runs: self.leadership.borrow().lost_term_runs(era, self.now()),
         }
     }
@@ -399,7 +399,8 @@
     async fn demand(&self, profile: &EngineProfile) -> Option<FleetDemand> {
         let view = self.fleet.send(GetDemand).await.ok()?;
         let now = view.now;
-        let watched = view.first_demand.is_some_and(|first| now.since(first) >= MIN_DEMAND_HISTORY);
+        let watched =
+            view.first_request.is_some_and(|first| now.since(first) >= MIN_DEMAND_HISTORY);
         let mut demand = FleetDemand { has_enough_history: watched, ..FleetDemand::default() };
         for model in &profile.models {
             let key = model_key(&model.name, None);
@@ -413,7 +414,7 @@
                 let adapter = format!("a{number}");
                 let key = model_key(&model.name, Some(&adapter));
                 let weights = Weights { model: model.name.clone(), adapter: Some(adapter) };
-                if view.waited_for.contains(&key) {
+                if view.awaited_models.contains(&key) {
                     demand.awaited_adapters.insert(weights.clone());
                 }
                 demand.adapters.insert(weights, view.rates.requests_per_second(key, now));
--- a/crates/cometmoor-gateway/src/control/registration.rs
+++ b/crates/cometmoor-gateway/src/control/registration.rs
@@ -46,7 +46,7 @@
             Err(_) => FAILURE_PAUSE,
         };
         // A restored store may have lost the registration.
-        let _ = clock::timeout(pause, context.store.eras().begins()).await;
+        let _ = clock::timeout(pause, context.store.eras().wait_for_new_era()).await;
     }
 }
 
--- a/crates/cometmoor-gateway/src/control/term.rs
+++ b/crates/cometmoor-gateway/src/control/term.rs
@@ -89,7 +89,7 @@
         let context = leader.context();
         let eras = context.store.eras();
         while leader.leads() {
-            let _ = clock::timeout(renewal, eras.begins()).await;
+            let _ = clock::timeout(renewal, eras.wait_for_new_era()).await;
             if context.board.fleet.load().phase != Phase::Ready {
                 leader.lost();
                 let _ = context.store.end_lease(self.lease).await;
--- a/crates/cometmoor-gateway/src/control/watcher.rs
+++ b/crates/cometmoor-gateway/src/control/watcher.rs
@@ -13,8 +13,8 @@
 
 use super::ControlContext;
 use super::fleet::{
-    CopyChanged, CopyFailed, CopyRead, FleetState, GetNextCall, GetPatienceLeft, GetPosition,
-    GetReadPlan, GetRetryPause, ReadPlan,
+    ChangesReceived, FleetState, GetNextCall, GetPosition, GetReadPlan, GetRetryDelay,
+    GetTimeUntilRefresh, ReadCompleted, ReadPlan, StoreCallFailed,
 };
 use crate::clock;
 use crate::dialect::Watched;
@@ -70,8 +70,8 @@
 
 /// Starts a task for each prefix.
 pub fn start(context: &Rc<ControlContext>, fleet: &Addr<FleetState>) {
-    for subject in StorePrefix::ALL {
-        let watcher = Watcher { context: context.clone(), fleet: fleet.clone(), subject };
+    for prefix in StorePrefix::ALL {
+        let watcher = Watcher { context: context.clone(), fleet: fleet.clone(), prefix };
         actix_rt::spawn(watcher.run());
     }
 }
@@ -79,13 +79,13 @@
 struct Watcher {
     context: Rc<ControlContext>,
     fleet: Addr<FleetState>,
-    subject: StorePrefix,
+    prefix: StorePrefix,
 }
 
 impl Watcher {
-    fn prefix(&self) -> &str {
+    fn key_prefix(&self) -> &str {
         let dialect = &self.context.dialect;
-        match self.subject {
+        match self.prefix {
             StorePrefix::Configuration => dialect.configuration_key(),
             StorePrefix::Servers => dialect.servers_prefix(),
         }
@@ -112,8 +112,8 @@
                 }
                 Err(error) => {
                     let reason = error.to_string();
-                    self.fleet.do_send(CopyFailed { subject: self.subject, reason });
-                    let pause = self.fleet.send(GetRetryPause(self.subject, failures)).await;
+                    self.fleet.do_send(StoreCallFailed { prefix: self.prefix, reason });
+                    let pause = self.fleet.send(GetRetryDelay(self.prefix, failures)).await;
                     clock::sleep(pause.unwrap_or(LONGEST_REST)).await;
                     next = next.after_failure();
                     failures += 1;
@@ -126,7 +126,7 @@
     /// point from which the store tells changes.
     async fn rest_after_reads(&self, reads: u32) {
         if let Some(failures) = reads.checked_sub(1) {
-            let pause = self.fleet.send(GetRetryPause(self.subject, failures)).await;
+            let pause = self.fleet.send(GetRetryDelay(self.prefix, failures)).await;
             clock::sleep(pause.unwrap_or(LONGEST_REST)).await;
         }
     }
@@ -145,7 +145,7 @@
         let end = clock::now() + wait;
         while clock::now() < end {
             // Who is to read is not known yet: few others have been heard.
-            let plan = self.fleet.send(GetReadPlan(self.subject)).await;
+            let plan = self.fleet.send(GetReadPlan(self.prefix)).await;
             if matches!(plan, Ok(ReadPlan::HasCopy)) {
                 return true;
             }
@@ -172,9 +172,9 @@
 
     async fn follow(&self, step: Step, failures: u32) -> Result<Step, StoreError> {
         // The actor ends only with the process.
-        let asked = self.fleet.send(GetNextCall(self.subject)).await;
+        let answer = self.fleet.send(GetNextCall(self.prefix)).await;
         let idle = (NextCall::Wait(LONGEST_REST), StorePosition::default());
-        let (next, after) = asked.unwrap_or(idle);
+        let (next, after) = answer.unwrap_or(idle);
         match next {
             NextCall::Wait(rest) => {
                 clock::sleep(rest).await;
@@ -191,10 +191,10 @@
     /// watch's own time to pass instead left nodes without news for 10.8 s (played
     /// days on which the store turns nodes away in silence).
     async fn watch(&self, after: StorePosition, wait: Duration) -> Result<Step, StoreError> {
-        let (store, asked) = (&self.context.store, clock::now());
-        let watch = store.watch(self.prefix(), after, wait, self.limits().watch_grace());
+        let (store, requested_at) = (&self.context.store, clock::now());
+        let watch = store.watch(self.key_prefix(), after, wait, self.limits().watch_grace());
         match select(pin!(watch), pin!(self.copy_becomes_too_old())).await {
-            Either::Left((watched, _)) => self.take(watched?, after, asked).await,
+            Either::Left((watched, _)) => self.take(watched?, after, requested_at).await,
             Either::Right(((), _)) => {
                 store.distrust_connections();
                 Ok(Step::FollowDoubting)
@@ -206,12 +206,12 @@
     async fn copy_becomes_too_old(&self) {
         let eras = self.context.store.eras();
         loop {
-            let left = self.fleet.send(GetPatienceLeft(self.subject)).await;
+            let left = self.fleet.send(GetTimeUntilRefresh(self.prefix)).await;
             let left = left.unwrap_or(LONGEST_REST);
             if left.is_zero() {
                 return;
             }
-            if clock::timeout(left.max(SHORTEST_LOOK), eras.begins()).await.is_ok() {
+            if clock::timeout(left.max(SHORTEST_LOOK), eras.wait_for_new_era()).await.is_ok() {
                 return;
             }
         }
@@ -219,9 +219,9 @@
 
     /// Asks for changes without waiting.
     async fn poll(&self, after: StorePosition, failures: u32) -> Result<Step, StoreError> {
-        let (time, asked) = (self.limits().poll_timeout(failures), clock::now());
-        let watched = self.context.store.watch(self.prefix(), after, NO_WAIT, time).await?;
-        self.take(watched, after, asked).await
+        let (time, requested_at) = (self.limits().poll_timeout(failures), clock::now());
+        let watched = self.context.store.watch(self.key_prefix(), after, NO_WAIT, time).await?;
+        self.take(watched, after, requested_at).await
     }
 
     /// Takes the answer to a call that began at `asked`.
@@ -229,20 +229,25 @@
         &self,
         watched: Watched,
         after: StorePosition,
-        asked: BootInstant,
+        requested_at: BootInstant,
     ) -> Result<Step, StoreError> {
         match watched {
             Watched::Events(events) => {
-                let gathers = self.subject == StorePrefix::Servers && !events.is_empty();
+                let gathers = self.prefix == StorePrefix::Servers && !events.is_empty();
                 let era = after.era;
-                self.fleet.do_send(CopyChanged { subject: self.subject, events, era, asked });
+                self.fleet.do_send(ChangesReceived {
+                    prefix: self.prefix,
+                    events,
+                    era,
+                    requested_at,
+                });
                 if gathers {
                     clock::sleep(GATHER).await;
                 }
                 Ok(Step::Follow)
             }
             Watched::Forgotten => {
-                let (what, after) = (self.subject.name(), after.to_string());
+                let (what, after) = (self.prefix.name(), after.to_string());
                 info!("[store] it cannot tell what has changed; all is read again", kv: { what, after });
                 Ok(Step::ReadAgain)
             }
@@ -253,26 +258,31 @@
     /// leave the rest to peers for a while: at the largest size a copy is megabytes,
     /// and all nodes may start at once.
     async fn read(&self, is_first: bool, read_time: Duration) -> Result<(), StoreError> {
-        let known = self.fleet.send(GetPosition(self.subject)).await.unwrap_or_default();
-        let (mut read, asked) = (PagedRead::default(), clock::now());
+        let known_position = self.fleet.send(GetPosition(self.prefix)).await.unwrap_or_default();
+        let (mut read, requested_at) = (PagedRead::default(), clock::now());
         let store = &self.context.store;
-        let mut more = store.read_page(self.prefix(), &mut read, read_time).await?;
+        let mut more = store.read_page(self.key_prefix(), &mut read, read_time).await?;
         if more && is_first && self.peers_bring_it().await {
             return Ok(());
         }
         while more {
-            more = store.read_page(self.prefix(), &mut read, read_time).await?;
+            more = store.read_page(self.key_prefix(), &mut read, read_time).await?;
         }
         let mirror = read.finish();
-        self.fleet.do_send(CopyRead { subject: self.subject, mirror, known, asked });
+        self.fleet.do_send(ReadCompleted {
+            prefix: self.prefix,
+            mirror,
+            known_position,
+            requested_at,
+        });
         Ok(())
     }
 
     /// Waits until a peer's copy has come; tells whether one has.
     async fn peers_bring_it(&self) -> bool {
         for _ in 0..LOOKS_FOR_PEERS {
-            match self.fleet.send(GetReadPlan(self.subject)).await {
-                Ok(ReadPlan::LeaveToPeers) => clock::sleep(LOOK_FOR_PEERS).await,
+            match self.fleet.send(GetReadPlan(self.prefix)).await {
+                Ok(ReadPlan::WaitForPeers) => clock::sleep(LOOK_FOR_PEERS).await,
                 Ok(ReadPlan::HasCopy) => return true,
                 Ok(ReadPlan::Read) | Err(_) => return false,
             }
--- a/crates/cometmoor-gateway/src/forward/crash_check.rs
+++ b/crates/cometmoor-gateway/src/forward/crash_check.rs
@@ -62,7 +62,9 @@
 
     /// Waits a moment where the request may have crashed enough servers to be quarantined.
     pub(super) async fn wait_for_verdict(&self) {
-        let _ = clock::timeout(VERDICT_WAIT, self.traffic.quarantine.decided(self.content)).await;
+        let _ =
+            clock::timeout(VERDICT_WAIT, self.traffic.quarantine.wait_for_decision(self.content))
+                .await;
     }
 
     /// Notes that a server has answered the request, to the end that it had announced.
--- a/crates/cometmoor-gateway/src/mirror.rs
+++ b/crates/cometmoor-gateway/src/mirror.rs
@@ -16,7 +16,7 @@
     /// Revision of its last change.
     pub revision: u64,
     /// Revision at which it was created.
-    pub created: u64,
+    pub create_revision: u64,
     /// Version that its writer gives it; none where it gives none.
     pub version: Option<u64>,
     /// Value.
@@ -27,8 +27,8 @@
 
 impl From<Item> for MirroredItem {
     fn from(item: Item) -> MirroredItem {
-        let Item { value, revision, created, version, .. } = item;
-        MirroredItem { revision, created, version, value, is_lost: false }
+        let Item { value, revision, created: create_revision, version, .. } = item;
+        MirroredItem { revision, create_revision, version, value, is_lost: false }
     }
 }
 
@@ -50,12 +50,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mirror {
     /// The point that the copy is of; its revision is 0 where nothing was read.
-    pub at: StorePosition,
+    pub position: StorePosition,
     /// Items by key.
     pub items: BTreeMap<String, MirroredItem>,
     /// Keys that are gone, with the revision of their end, as far back as is
     /// remembered.
-    gone: BTreeMap<String, u64>,
+    removed: BTreeMap<String, u64>,
     /// Changes up to this revision are not remembered one by one.
     forgotten: u64,
 }
@@ -72,60 +72,64 @@
         /// Items that were written.
         written: Vec<(String, MirroredItem)>,
         /// Keys that are gone, with the revision of their end.
-        gone: Vec<(String, u64)>,
+        removed: Vec<(String, u64)>,
         /// Point that the changes lead to; they start from an earlier one of its era.
-        at: StorePosition,
+        position: StorePosition,
     },
     /// Everything, because changes so far back are not remembered.
-    Whole(Mirror),
+    Full(Mirror),
 }
 
 impl Mirror {
-    /// A copy from a full read, which holds at least what was there at `at`.
-    pub fn from_items(items: Vec<Item>, at: StorePosition) -> Mirror {
+    /// A copy from a full read, which holds at least what was there at `position`.
+    pub fn from_items(items: Vec<Item>, position: StorePosition) -> Mirror {
         let items = items.into_iter().map(|item| (item.key.clone(), item.into())).collect();
-        Mirror { at, items, gone: BTreeMap::new(), forgotten: at.revision }
+        Mirror { position, items, removed: BTreeMap::new(), forgotten: position.revision }
     }
 
     /// Whether anything was read.
     pub fn exists(&self) -> bool {
-        self.at.revision > 0
+        self.position.revision > 0
     }
 
     /// Keys that are gone, as far back as is remembered.
-    pub fn gone(&self) -> impl Iterator<Item = &str> {
-        self.gone.keys().map(String::as_str)
+    pub fn removed_keys(&self) -> impl Iterator<Item = &str> {
+        self.removed.keys().map(String::as_str)
     }
 
     /// What a copy as of `after` lacks.
-    pub fn since(&self, after: StorePosition) -> MirrorUpdate {
-        if after.era != self.at.era || after.revision < self.forgotten {
-            return MirrorUpdate::Whole(self.clone());
+    pub fn changes_since(&self, after: StorePosition) -> MirrorUpdate {
+        if after.era != self.position.era || after.revision < self.forgotten {
+            return MirrorUpdate::Full(self.clone());
         }
         let written = self.items.iter().filter(|(_, item)| item.revision > after.revision);
-        let gone = self.gone.iter().filter(|(_, revision)| **revision > after.revision);
+        let removed = self.removed.iter().filter(|(_, revision)| **revision > after.revision);
         MirrorUpdate::Changes {
             written: written.map(|(key, item)| (key.clone(), item.clone())).collect(),
-            gone: gone.map(|(key, revision)| (key.clone(), *revision)).collect(),
-            at: self.at,
+            removed: removed.map(|(key, revision)| (key.clone(), *revision)).collect(),
+            position: self.position,
         }
     }
 
     /// Takes what a peer's copy had beyond this one; tells whether an item
     /// changed.
-    pub fn update(&mut self, update: MirrorUpdate) -> bool {
+    pub fn apply_update(&mut self, update: MirrorUpdate) -> bool {
         match update {
-            MirrorUpdate::Whole(mirror) => self.offer(mirror),
-            MirrorUpdate::Changes { at, .. } if at.era != self.at.era || at <= self.at => false,
-            MirrorUpdate::Changes { written, gone, at } => {
+            MirrorUpdate::Full(mirror) => self.merge(mirror),
+            MirrorUpdate::Changes { position, .. }
+                if position.era != self.position.era || position <= self.position =>
+            {
+                false
+            }
+            MirrorUpdate::Changes { written, removed, position } => {
                 let mut changed = false;
                 for (key, item) in written {
                     changed |= self.write(key, item);
                 }
-                for (key, revision) in gone {
+                for (key, revision) in removed {
                     changed |= self.remove(key, revision);
                 }
-                self.at = at;
+                self.position = position;
                 changed
             }
         }
@@ -133,8 +137,8 @@
 
     /// Takes another copy if it is newer, and of an older one the versions that are newer;
     /// tells whether anything was taken.
-    pub fn offer(&mut self, other: Mirror) -> bool {
-        if other.at <= self.at {
+    pub fn merge(&mut self, other: Mirror) -> bool {
+        if other.position <= self.position {
             return self.take_newer_versions(other.items);
         }
         let before = std::mem::replace(self, other);
@@ -150,7 +154,7 @@
             let revision = match self.items.get(&key) {
                 Some(own) if item.outlives(own) => own.revision,
                 Some(_) => continue,
-                None => self.at.revision,
+                None => self.position.revision,
             };
             self.items.insert(key, item.lost_at(revision));
             taken = true;
@@ -162,16 +166,16 @@
     /// another copy has already brought are passed over. The copy is then of the last
     /// change's revision, not of the one that the store names beside them: a store that
     /// hands changes out late may name one beyond a change that it has yet to tell.
-    pub fn apply(&mut self, events: Vec<WatchEvent>) -> bool {
+    pub fn apply_events(&mut self, events: Vec<WatchEvent>) -> bool {
         let mut changed = false;
         for event in events {
-            self.at.revision = self.at.revision.max(event.revision());
-            changed |= self.apply_one(event);
+            self.position.revision = self.position.revision.max(event.revision());
+            changed |= self.apply_event(event);
         }
         changed
     }
 
-    fn apply_one(&mut self, event: WatchEvent) -> bool {
+    fn apply_event(&mut self, event: WatchEvent) -> bool {
         match event {
             WatchEvent::Written(item) => self.write(item.key.clone(), item.into()),
             WatchEvent::Gone { key, revision } => self.remove(key, revision),
@@ -180,11 +184,11 @@
 
     fn write(&mut self, key: String, item: MirroredItem) -> bool {
         let known = self.items.get(&key).map(|known| known.revision);
-        let ended = self.gone.get(&key).copied();
+        let ended = self.removed.get(&key).copied();
         if known.max(ended).is_some_and(|known| known >= item.revision) {
             return false;
         }
-        self.gone.remove(&key);
+        self.removed.remove(&key);
         let item = match self.items.remove(&key) {
             Some(known) if known.outlives(&item) => known.lost_at(item.revision),
             _ => item,
@@ -203,18 +207,18 @@
             self.items.insert(key, versioned.lost_at(revision));
             return true;
         }
-        self.gone.insert(key, revision);
+        self.removed.insert(key, revision);
         self.forget_oldest();
         true
     }
 
     fn forget_oldest(&mut self) {
-        if self.gone.len() <= MAX_GONE {
+        if self.removed.len() <= MAX_GONE {
             return;
         }
-        let oldest = self.gone.iter().min_by_key(|(_, revision)| **revision);
+        let oldest = self.removed.iter().min_by_key(|(_, revision)| **revision);
         if let Some((key, revision)) = oldest.map(|(key, revision)| (key.clone(), *revision)) {
-            self.gone.remove(&key);
+            self.removed.remove(&key);
             self.forgotten = self.forgotten.max(revision);
         }
     }
--- a/crates/cometmoor-gateway/src/node.rs
+++ b/crates/cometmoor-gateway/src/node.rs
@@ -15,7 +15,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::clock;
-use crate::control::fleet::{BeginStop, CloseToClients, FleetState, GetUpdate};
+use crate::control::fleet::{BeginShutdown, FleetState, GetUpdate, StopAcceptingRequests};
 use crate::control::{ControlContext, start as start_control};
 use crate::control_traffic::{ControlTraffic, TrafficKind};
 use crate::dialect::Dialect;
@@ -366,7 +366,7 @@
         StorePrefix::Configuration => TrafficKind::ConfigurationCopy,
         StorePrefix::Servers => TrafficKind::ServersCopy,
     };
-    match fleet.send(GetUpdate { subject, after }).await {
+    match fleet.send(GetUpdate { prefix: subject, after }).await {
         Ok(Some(body)) => {
             traffic.count(kind, 1, body.len());
             SmallAnswer { status: 200, content_type: BINARY, body: body.to_vec() }
@@ -415,10 +415,10 @@
     info!("[node] leaving; clients are sent elsewhere", kv: { in_progress = loads.in_progress() as u64 });
     let grace = settings.grace();
     let ends = started + grace.saturating_sub(KILL_MARGIN);
-    let _ = fleet.send(BeginStop(ShutdownTimes { started, deadline: ends })).await;
+    let _ = fleet.send(BeginShutdown(ShutdownTimes { started, deadline: ends })).await;
     let answers_kept = settings.directory_lifetime() * DIRECTORY_LIVES + DIRECTORY_SLACK;
     clock::sleep(answers_kept.min(grace.mul_f64(LAST_REQUEST_PART))).await;
-    let _ = fleet.send(CloseToClients).await;
+    let _ = fleet.send(StopAcceptingRequests).await;
     while loads.in_progress() > 0 && clock::now() < ends {
         clock::sleep(DRAIN_POLL).await;
     }
--- a/crates/cometmoor-gateway/src/quarantine.rs
+++ b/crates/cometmoor-gateway/src/quarantine.rs
@@ -56,7 +56,7 @@
 
     /// Waits until it is known whether a request has crashed so many servers that it is
     /// quarantined.
-    pub async fn decided(&self, content: Fingerprint) {
+    pub async fn wait_for_decision(&self, content: Fingerprint) {
         loop {
             let ended = self.check_ended.notified();
             if !self.with(|quarantine, _| quarantine.is_decision_pending(content)) {
--- a/crates/cometmoor-gateway/src/store.rs
+++ b/crates/cometmoor-gateway/src/store.rs
@@ -11,7 +11,7 @@
 use crate::http::client::{Answer, Call, CallClient, CallError};
 use crate::metrics::Metrics;
 use crate::mirror::Mirror;
-use crate::store_era::{EraIsOver, EraWatch};
+use crate::store_era::{EraTracker, PastEra};
 
 /// Time for an answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
@@ -46,8 +46,8 @@
     }
 }
 
-impl From<EraIsOver> for StoreError {
-    fn from(error: EraIsOver) -> StoreError {
+impl From<PastEra> for StoreError {
+    fn from(error: PastEra) -> StoreError {
         StoreError::Era(error.0)
     }
 }
@@ -75,7 +75,7 @@
     dialect: Arc<dyn Dialect>,
     client: CallClient,
     metrics: Arc<Metrics>,
-    eras: EraWatch,
+    eras: EraTracker,
 }
 
 /// A read of all items under a prefix, page by page. The copy is as of the first
@@ -96,12 +96,12 @@
 impl Store {
     /// A client of the store at the address.
     pub fn new(dialect: Arc<dyn Dialect>, address: SocketAddrV4, metrics: Arc<Metrics>) -> Store {
-        let eras = EraWatch::new(metrics.clone());
+        let eras = EraTracker::new(metrics.clone());
         Store { dialect, client: CallClient::new(address), metrics, eras }
     }
 
     /// The newest era that this node has heard of.
-    pub fn eras(&self) -> &EraWatch {
+    pub fn eras(&self) -> &EraTracker {
         &self.eras
     }
 
--- a/crates/cometmoor-gateway/src/store_era.rs
+++ b/crates/cometmoor-gateway/src/store_era.rs
@@ -14,10 +14,10 @@
 
 /// An answer is of an era that is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EraIsOver(pub StoreEra);
+pub struct PastEra(pub StoreEra);
 
 /// Keeps the newest era, and tells when one begins.
-pub struct EraWatch {
+pub struct EraTracker {
     known: RefCell<KnownEra>,
     restored: Cell<Option<KnownRestore>>,
     begun: Notify,
@@ -26,10 +26,10 @@
     number_is_missing: Cell<bool>,
 }
 
-impl EraWatch {
+impl EraTracker {
     /// Of a node that has heard of none.
-    pub fn new(metrics: Arc<Metrics>) -> EraWatch {
-        EraWatch {
+    pub fn new(metrics: Arc<Metrics>) -> EraTracker {
+        EraTracker {
             known: RefCell::default(),
             restored: Cell::new(None),
             begun: Notify::new(),
@@ -44,12 +44,12 @@
     }
 
     /// The last restore of the store that was heard of; none where it was always of one era.
-    pub fn restored(&self) -> Option<KnownRestore> {
+    pub fn latest_restore(&self) -> Option<KnownRestore> {
         self.restored.get()
     }
 
     /// Waits until an era begins.
-    pub async fn begins(&self) {
+    pub async fn wait_for_new_era(&self) {
         self.begun.notified().await;
     }
 
@@ -60,7 +60,7 @@
         step: &'static str,
         number: Result<Option<u32>, FormatError>,
         newest_then: StoreEra,
-    ) -> Result<StoreEra, EraIsOver> {
+    ) -> Result<StoreEra, PastEra> {
         self.log_missing(step, &number);
         let number = number.unwrap_or_default();
         let noted = self.known.borrow_mut().note_answer(number, newest_then);
@@ -68,7 +68,7 @@
     }
 
     /// Takes the era of another node's copy.
-    pub fn note_peer(&self, era: StoreEra) {
+    pub fn note_peer_era(&self, era: StoreEra) {
         let noted = self.known.borrow_mut().note(era);
         if !matches!(noted, AnswerEra::Past(_)) {
             let _ = self.take(noted, "peer");
@@ -83,13 +83,13 @@
         StorePosition { era, ..read }
     }
 
-    fn take(&self, noted: AnswerEra, step: &'static str) -> Result<StoreEra, EraIsOver> {
+    fn take(&self, noted: AnswerEra, step: &'static str) -> Result<StoreEra, PastEra> {
         match noted {
             AnswerEra::Newest(era) => return Ok(era),
             AnswerEra::Past(past) => {
                 let (era, newest) = (past.to_string(), self.newest().to_string());
                 warn!("[store] an answer of an era that is over is dropped", kv: { step, era, newest });
-                return Err(EraIsOver(past));
+                return Err(PastEra(past));
             }
             AnswerEra::New { era, before: None } => {
                 info!("[store] its era is known", kv: { step, era = era.to_string() });
--- a/crates/cometmoor-gateway/tests/mirror.rs
+++ b/crates/cometmoor-gateway/tests/mirror.rs
@@ -38,9 +38,9 @@
             } else {
                 written(key, revision)
             };
-            watching.apply(vec![event]);
+            watching.apply_events(vec![event]);
             if random.random_bool(0.2) {
-                learning.update(watching.since(learning.at));
+                learning.apply_update(watching.changes_since(learning.position));
                 assert_eq!(learning.items, watching.items, "seed {seed}, revision {revision}");
             }
         }
@@ -50,22 +50,22 @@
 #[test]
 fn an_older_update_changes_nothing_and_a_far_one_is_whole() {
     let mut mirror = Mirror::from_items(Vec::new(), at(10));
-    mirror.apply(vec![written(1, 12)]);
+    mirror.apply_events(vec![written(1, 12)]);
     let old = Mirror::from_items(Vec::new(), at(11));
-    assert!(!mirror.update(MirrorUpdate::Whole(old)));
+    assert!(!mirror.apply_update(MirrorUpdate::Full(old)));
     assert_eq!(mirror.items.len(), 1);
-    assert!(matches!(mirror.since(at(9)), MirrorUpdate::Whole(_)));
-    assert!(matches!(mirror.since(at(10)), MirrorUpdate::Changes { .. }));
+    assert!(matches!(mirror.changes_since(at(9)), MirrorUpdate::Full(_)));
+    assert!(matches!(mirror.changes_since(at(10)), MirrorUpdate::Changes { .. }));
 }
 
 #[test]
 fn a_key_that_is_gone_does_not_come_back_by_an_older_write() {
     let mut mirror = Mirror::from_items(Vec::new(), at(1));
-    mirror.apply(vec![written(1, 2)]);
-    mirror.apply(vec![WatchEvent::Gone { key: "k1".to_owned(), revision: 5 }]);
-    assert!(!mirror.apply(vec![written(1, 3)]));
+    mirror.apply_events(vec![written(1, 2)]);
+    mirror.apply_events(vec![WatchEvent::Gone { key: "k1".to_owned(), revision: 5 }]);
+    assert!(!mirror.apply_events(vec![written(1, 3)]));
     assert!(mirror.items.is_empty());
-    assert!(mirror.apply(vec![written(1, 6)]));
+    assert!(mirror.apply_events(vec![written(1, 6)]));
 }
 
 #[test]
@@ -81,7 +81,7 @@
         version: None,
     };
     let mirror = Mirror::from_items(vec![item], at(4));
-    let update = mirror.since(at(0));
+    let update = mirror.changes_since(at(0));
     let plain = postcard::to_stdvec(&update).unwrap().len();
     let told = encode_update(&update);
     assert!(told.len() * 4 < plain, "{} of {plain} bytes", told.len());
@@ -93,15 +93,15 @@
 fn a_copy_of_a_newer_era_replaces_one_with_a_higher_revision() {
     let restored = StorePosition { era: StoreEra::numbered(2), revision: 4 };
     let mut old = Mirror::from_items(Vec::new(), at(10));
-    old.apply(vec![written(1, 12)]);
+    old.apply_events(vec![written(1, 12)]);
     let mut new = Mirror::from_items(Vec::new(), restored);
-    new.apply(vec![written(2, 5)]);
-    assert!(matches!(new.since(old.at), MirrorUpdate::Whole(_)));
-    let outdated = old.since(at(11));
-    assert!(old.update(new.since(old.at)));
-    assert_eq!((old.at.revision, &old.items), (5, &new.items));
-    assert!(!old.update(outdated), "changes of an era that is over are taken");
-    assert!(!old.offer(Mirror::from_items(Vec::new(), at(99))));
+    new.apply_events(vec![written(2, 5)]);
+    assert!(matches!(new.changes_since(old.position), MirrorUpdate::Full(_)));
+    let outdated = old.changes_since(at(11));
+    assert!(old.apply_update(new.changes_since(old.position)));
+    assert_eq!((old.position.revision, &old.items), (5, &new.items));
+    assert!(!old.apply_update(outdated), "changes of an era that is over are taken");
+    assert!(!old.merge(Mirror::from_items(Vec::new(), at(99))));
 }
 
 /// A configuration of a version, written at a revision.
@@ -115,7 +115,7 @@
 fn holding(era: u32, revision: u64, number: u64) -> Mirror {
     let at = StorePosition { era: StoreEra::numbered(era), revision: revision - 1 };
     let mut mirror = Mirror::from_items(Vec::new(), at);
-    mirror.apply(vec![version(number, revision)]);
+    mirror.apply_events(vec![version(number, revision)]);
     mirror
 }
 
@@ -127,25 +127,28 @@
 #[test]
 fn an_older_version_never_replaces_a_newer_one() {
     let mut mirror = holding(1, 20, 86);
-    assert!(mirror.offer(holding(2, 9, 83)));
-    assert_eq!((mirror.at.revision, held(&mirror)), (9, (Some(86), true)));
-    mirror.apply(vec![version(84, 10)]);
+    assert!(mirror.merge(holding(2, 9, 83)));
+    assert_eq!((mirror.position.revision, held(&mirror)), (9, (Some(86), true)));
+    mirror.apply_events(vec![version(84, 10)]);
     assert_eq!(held(&mirror), (Some(86), true));
-    mirror.apply(vec![WatchEvent::Gone { key: "configuration".to_owned(), revision: 11 }]);
+    mirror.apply_events(vec![WatchEvent::Gone { key: "configuration".to_owned(), revision: 11 }]);
     assert_eq!(held(&mirror), (Some(86), true));
-    mirror.apply(vec![version(86, 12)]);
+    mirror.apply_events(vec![version(86, 12)]);
     assert_eq!(held(&mirror), (Some(86), false));
 }
 
 #[test]
 fn a_newer_version_is_taken_from_a_peer_whose_copy_is_older() {
     let mut restored = holding(2, 9, 83);
-    assert!(restored.update(MirrorUpdate::Whole(holding(1, 20, 86))));
-    assert_eq!((restored.at.revision, held(&restored)), (9, (Some(86), true)));
+    assert!(restored.apply_update(MirrorUpdate::Full(holding(1, 20, 86))));
+    assert_eq!((restored.position.revision, held(&restored)), (9, (Some(86), true)));
     let mut starting = holding(2, 9, 83);
-    assert!(starting.update(restored.since(StorePosition::default())));
+    assert!(starting.apply_update(restored.changes_since(StorePosition::default())));
     assert_eq!(held(&starting), (Some(86), true));
-    assert!(!starting.update(restored.since(StorePosition::default())), "nothing is new");
+    assert!(
+        !starting.apply_update(restored.changes_since(StorePosition::default())),
+        "nothing is new"
+    );
 }
 
 #[test]
@@ -158,6 +161,6 @@
         created: 1,
         version: None,
     };
-    mirror.apply(vec![WatchEvent::Written(item)]);
+    mirror.apply_events(vec![WatchEvent::Written(item)]);
     assert_eq!(mirror.items["configuration"].value, b"?");
 }
--- a/crates/cometmoor-gateway/tests/mirror_restores.rs
+++ b/crates/cometmoor-gateway/tests/mirror_restores.rs
@@ -88,7 +88,7 @@
             }
             Message::Peer { era, update, .. } => {
                 self.era.note(era);
-                self.mirror.update(update);
+                self.mirror.apply_update(update);
             }
         }
         let version = self.mirror.items.get(NUMBERED).and_then(|item| item.version);
@@ -104,11 +104,11 @@
                     AnswerEra::Newest(era) | AnswerEra::New { era, .. } => era,
                     AnswerEra::Past(_) => return,
                 };
-                self.mirror.offer(Mirror::from_items(items, StorePosition { era, ..read }));
+                self.mirror.merge(Mirror::from_items(items, StorePosition { era, ..read }));
             }
             Answer::Watch { events: Some(events), after } => {
-                if after.era == era && self.mirror.at.era == era {
-                    self.mirror.apply(events);
+                if after.era == era && self.mirror.position.era == era {
+                    self.mirror.apply_events(events);
                 }
             }
             Answer::Watch { events: None, .. } => {}
@@ -164,7 +164,7 @@
     }
 
     fn ask(&mut self, node: usize) -> Message {
-        let known = self.nodes[node].mirror.at;
+        let known = self.nodes[node].mirror.position;
         let newest_then = self.nodes[node].era.newest();
         let reads = known.era < newest_then || !self.nodes[node].mirror.exists();
         let answer = if reads || self.random.random_bool(0.3) {
@@ -187,8 +187,9 @@
         if from == node || !teller.exists() {
             return None;
         }
-        let after = if self.random.random_bool(0.5) { listener.at } else { Default::default() };
-        Some(Message::Peer { node, era: teller.at.era, update: teller.since(after) })
+        let after =
+            if self.random.random_bool(0.5) { listener.position } else { Default::default() };
+        Some(Message::Peer { node, era: teller.position.era, update: teller.changes_since(after) })
     }
 
     fn deliver(&mut self, message: Message) {
@@ -229,7 +230,7 @@
         self.store.contents.write(NUMBERED, Some(self.store.newest_version));
         for node in 0..NODES {
             for _ in 0..3 {
-                let known = self.nodes[node].mirror.at;
+                let known = self.nodes[node].mirror.position;
                 let newest_then = self.nodes[node].era.newest();
                 let answer = self.read(known);
                 let number = self.store.era;
