--- a/crates/cometmoor-gateway/src/control/fleet/copies.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/copies.rs
@@ -1,4 +1,4 @@
-//! Copies of the store's prefixes, and how they come from peers.
+//! Copies of the store's prefixes, and how they are fetched from peers.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -16,41 +16,42 @@
 use crate::peer::{StorePrefix, encode_update, fetch_update};
 use crate::published::age_millis;
 
-/// Pause after a peer did not give its copy; another one's heartbeat comes soon.
-const FETCH_PAUSE: Duration = Duration::from_millis(50);
-/// Time between two fetches of a copy of the servers from a node of the same
-/// zone. With the reader's own pause it is a small part of the time within
+/// Delay after a failed fetch from a peer. It is short because the heartbeat of another peer
+/// follows soon.
+const FETCH_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Minimum time between two fetches of a copy of the servers in a large fleet from a node of
+/// the same zone. Together with the reader's own delay it is a small part of the time within
 /// which a leaving server must get no new work.
-const GATHER_NEAR: Duration = Duration::from_millis(200);
+const FETCH_INTERVAL_SAME_ZONE: Duration = Duration::from_millis(200);
 /// The same from a node of another zone.
-const GATHER_FAR: Duration = Duration::from_millis(600);
+const FETCH_INTERVAL_OTHER_ZONE: Duration = Duration::from_millis(600);
 
 /// A copy of one of the store's prefixes, with what is known of its age.
 #[derive(Default)]
 pub(super) struct Copy {
     pub(super) mirror: Mirror,
-    /// When the store last gave an answer, to anybody, by which the copy lacks
-    /// nothing; an open watch that says nothing is no answer.
+    /// When the store last gave an answer, to any node, that shows that the copy lacks nothing.
+    /// An open watch that stays silent is not an answer.
     pub(super) confirmed: Option<BootInstant>,
-    /// The same, as far as other nodes told of it.
-    confirmed_to_peers: Option<BootInstant>,
-    /// The latest point at which the store is known to have held nothing newer: begins of
-    /// calls that it answered, and answers of peers counted from the question.
+    /// The same, by the reports of other nodes only.
+    peer_reported_confirmed: Option<BootInstant>,
+    /// The latest time at which the store is known to have held nothing newer: starts of calls
+    /// that it answered, and answers of peers counted from the request.
     pub(super) proven: Option<BootInstant>,
-    /// Whether the store left this node's last call without an answer.
-    pub(super) watch_failing: bool,
-    pub(super) fetching: bool,
+    /// Whether the store did not answer this node's last call.
+    pub(super) is_store_failing: bool,
+    pub(super) is_fetching: bool,
     behind: Option<Behind>,
     encoded: Option<EncodedUpdate>,
     restored: Option<RestoredCopy>,
 }
 
-/// How a copy of a new era differed from the one before.
+/// The change of the copy when a new era began, to tell which items were written in that era.
 #[derive(Clone, Copy)]
 struct RestoredCopy {
-    /// Revision of the first copy of the era that this node took.
+    /// Revision of this node's first copy of the era.
     first_revision: u64,
-    /// Version and revision of the item before, if its writer numbers its versions.
+    /// Version and revision of the item before the restore, if its writer numbers its versions.
     before: Option<(u64, u64)>,
 }
 
@@ -66,90 +67,92 @@
 
 /// Version and revision of the item of a copy that the store has not lost and whose writer
 /// numbers its versions.
-fn numbered_item(mirror: &Mirror) -> Option<(u64, u64)> {
-    let mut known = mirror.items.values().filter(|item| !item.is_lost);
-    known.find_map(|item| Some((item.version?, item.revision)))
+fn versioned_item(mirror: &Mirror) -> Option<(u64, u64)> {
+    let mut stored = mirror.items.values().filter(|item| !item.is_lost);
+    stored.find_map(|item| Some((item.version?, item.revision)))
 }
 
-/// What was last told to a peer; others often ask for the same.
+/// Cache of the last update sent to a peer, because several peers often request the same.
 struct EncodedUpdate {
-    at: StorePosition,
+    position: StorePosition,
     after: StorePosition,
     bytes: Bytes,
 }
 
-/// Since when a peer has been known to have more than a copy as of this point.
+/// Since when a peer has been known to have a newer copy than the one at `position`.
 #[derive(Clone, Copy)]
 struct Behind {
-    at: StorePosition,
+    position: StorePosition,
     since: BootInstant,
 }
 
 impl Copy {
-    /// Milliseconds since the store last confirmed it; -1 where it never did.
+    /// Milliseconds since the store last confirmed it; -1 if it never did.
     pub(super) fn age_millis(&self) -> i64 {
         age_millis(self.confirmed)
     }
 
-    /// Time since the store last confirmed it; none where it never did.
+    /// Time since the store last confirmed it to any node, as far as this node knows; `None` if
+    /// it never did.
     pub(super) fn age(&self) -> Option<Duration> {
         self.confirmed.map(clock::elapsed)
     }
 
-    /// Whether the store last confirmed it longer ago than `patience`, as far as
-    /// is known here.
-    pub(super) fn is_older_than(&self, patience: Duration) -> bool {
-        self.age().is_none_or(|age| age >= patience)
+    /// Whether the store last confirmed it at least `limit` ago or never, as far as this node
+    /// knows.
+    pub(super) fn is_older_than(&self, limit: Duration) -> bool {
+        self.age().is_none_or(|age| age >= limit)
     }
 
-    /// Time since the store last confirmed it, by what other nodes told.
-    pub(super) fn age_told_by_peers(&self) -> Option<Duration> {
-        self.confirmed_to_peers.map(clock::elapsed)
+    /// Time since the store last confirmed it, by the reports of other nodes only.
+    pub(super) fn peer_reported_age(&self) -> Option<Duration> {
+        self.peer_reported_confirmed.map(clock::elapsed)
     }
 
-    /// As others are told of its age.
-    pub(super) fn told_age(&self) -> CopyAge {
+    /// The age as reported to other nodes.
+    pub(super) fn reported_age(&self) -> CopyAge {
         self.age().and_then(|age| u32::try_from(age.as_millis()).ok())
     }
 
-    /// Time since the copy was shown to be the newest.
+    /// Time since the copy was proven to be the newest; `None` if it never was.
     pub(super) fn proof_age(&self) -> Option<Duration> {
         self.proven.map(clock::elapsed)
     }
 
-    /// Notes a point at which the store is known to have held nothing newer.
-    pub(super) fn prove(&mut self, at: Option<BootInstant>) {
+    /// Records that the store held nothing newer at `at`.
+    pub(super) fn record_proof(&mut self, at: Option<BootInstant>) {
         self.proven = self.proven.max(at);
     }
 
-    /// Takes a peer's word that the store confirmed a copy no newer than this one
-    /// so long ago.
+    /// Records a peer's report that the store confirmed, `age` ago, a copy no newer than this
+    /// one.
     fn confirm_through_peer(&mut self, age: CopyAge) {
         let Some(age) = age else { return };
         let at = clock::now().checked_sub(Duration::from_millis(age.into()));
         self.confirmed = self.confirmed.max(at);
-        self.confirmed_to_peers = self.confirmed_to_peers.max(at);
+        self.peer_reported_confirmed = self.peer_reported_confirmed.max(at);
     }
 
-    /// What a copy as of `after` lacks, as sent to peers; none where nothing was read.
-    pub(super) fn encoded_since(&mut self, after: StorePosition) -> Option<Bytes> {
-        let at = self.mirror.position;
-        let known = self.encoded.as_ref().filter(|known| (known.at, known.after) == (at, after));
-        if let Some(known) = known {
-            return Some(known.bytes.clone());
+    /// The encoded changes that a copy at position `after` lacks; `None` if this node has no
+    /// copy.
+    pub(super) fn encoded_changes_since(&mut self, after: StorePosition) -> Option<Bytes> {
+        let position = self.mirror.position;
+        let cached = self.encoded.as_ref();
+        let cached = cached.filter(|cached| (cached.position, cached.after) == (position, after));
+        if let Some(cached) = cached {
+            return Some(cached.bytes.clone());
         }
         if !self.mirror.exists() {
             return None;
         }
         let bytes = Bytes::from(encode_update(&self.mirror.changes_since(after)));
-        self.encoded = Some(EncodedUpdate { at, after, bytes: bytes.clone() });
+        self.encoded = Some(EncodedUpdate { position, after, bytes: bytes.clone() });
         Some(bytes)
     }
 
-    /// Takes what leads on from this copy, the store's or a peer's; tells whether an item
-    /// changed.
-    pub(super) fn update(&mut self, subject: StorePrefix, update: MirrorUpdate) -> bool {
-        let (before, item_before) = (self.mirror.position, numbered_item(&self.mirror));
+    /// Applies an update from the store or a peer. Returns whether an item changed.
+    pub(super) fn update(&mut self, prefix: StorePrefix, update: MirrorUpdate) -> bool {
+        let (before, item_before) = (self.mirror.position, versioned_item(&self.mirror));
         let changed = self.mirror.apply_update(update);
         if changed {
             self.encoded = None;
@@ -157,57 +160,57 @@
         if before.era != self.mirror.position.era {
             let first_revision = self.mirror.position.revision;
             self.restored = Some(RestoredCopy { first_revision, before: item_before });
-            self.log_new_era(subject, before);
+            self.log_new_era(prefix, before);
         }
         changed
     }
 
-    /// Whether an item has certainly been written since the store was restored; true where it
+    /// Whether an item has certainly been written since the store was restored; true if it
     /// never was.
     pub(super) fn is_rewritten(&self, item: &MirroredItem) -> bool {
         self.restored.is_none_or(|restored| restored.is_rewritten(item))
     }
 
-    fn log_new_era(&self, subject: StorePrefix, before: StorePosition) {
+    fn log_new_era(&self, prefix: StorePrefix, before: StorePosition) {
         if before.revision > 0 {
-            let (what, age_millis) = (subject.name(), self.age_millis());
+            let (what, age_millis) = (prefix.name(), self.age_millis());
             let (at, before) = (self.mirror.position.to_string(), before.to_string());
             let items = self.mirror.items.len();
-            info!("[store] a copy of a new era replaces the one before", kv: { what, at, before, items, age_millis });
+            info!("[store] replaced the copy by one of a new era", kv: { what, at, before, items, age_millis });
         }
     }
 
     /// Whether a peer is known to have a newer copy.
     pub(super) fn is_known_behind(&self) -> bool {
-        self.behind.is_some_and(|behind| behind.at == self.mirror.position)
+        self.behind.is_some_and(|behind| behind.position == self.mirror.position)
     }
 
-    /// Notes that a peer has a newer copy; whether one has had it for so long
-    /// while this copy stood still. A watch that the store has forgotten, or
-    /// whose answer a partition holds up, does not fail for many seconds.
+    /// Records that a peer has a newer copy. Returns whether a peer has had one for at least
+    /// `span` while this copy did not change. A watch that the store has dropped, or whose
+    /// answer a partition delays, does not fail for many seconds.
     fn is_behind_for(&mut self, span: Duration) -> bool {
-        let (at, now) = (self.mirror.position, clock::now());
+        let (position, now) = (self.mirror.position, clock::now());
         match self.behind {
-            Some(behind) if behind.at == at => now.since(behind.since) >= span,
+            Some(behind) if behind.position == position => now.since(behind.since) >= span,
             _ => {
-                self.behind = Some(Behind { at, since: now });
+                self.behind = Some(Behind { position, since: now });
                 false
             }
         }
     }
 
-    /// Notes that the store has answered a call.
-    pub(super) fn confirm(&mut self, subject: StorePrefix) {
-        if self.watch_failing {
-            let (what, age_millis) = (subject.name(), self.age_millis());
+    /// Records that the store has answered a call of this node.
+    pub(super) fn confirm(&mut self, prefix: StorePrefix) {
+        if self.is_store_failing {
+            let (what, age_millis) = (prefix.name(), self.age_millis());
             info!("[store] answers again", kv: { what, age_millis });
         }
         self.confirmed = Some(clock::now());
-        self.watch_failing = false;
+        self.is_store_failing = false;
     }
 }
 
-/// How new a peer's copies are.
+/// The versions of a peer's copies.
 pub(super) struct PeerCopies {
     pub(super) address: SocketAddrV4,
     pub(super) zone: String,
@@ -215,133 +218,137 @@
 }
 
 impl FleetState {
-    /// Asks a peer for its copy where the store does not answer this node and
-    /// the peer's copy is newer.
+    /// Fetches a peer's copy if it is newer and this node does not get the changes from the
+    /// store itself.
     pub(super) fn catch_up(&mut self, peer: &PeerCopies, context: &mut Context<FleetState>) {
-        let told = peer.versions;
-        if told.servers.revision > 0 {
-            self.context.store.eras().note_peer_era(told.servers.era);
+        let versions = peer.versions;
+        if versions.servers.revision > 0 {
+            self.context.store.eras().note_peer_era(versions.servers.era);
         }
-        let patience = self.patience();
-        let newer = [
+        let refresh_age = self.refresh_age();
+        let comparisons = [
             (
                 StorePrefix::Configuration,
-                told.configuration > self.configuration.version(),
-                told.configuration_age,
+                versions.configuration > self.configuration.version(),
+                versions.configuration_age,
             ),
             (
                 StorePrefix::Servers,
-                told.servers > self.copies[&StorePrefix::Servers].mirror.position,
-                told.servers_age,
+                versions.servers > self.copies[&StorePrefix::Servers].mirror.position,
+                versions.servers_age,
             ),
         ];
-        for (subject, newer, age) in newer {
-            let learns = !self.reads(subject);
-            let copy = self.copy(subject);
-            if !newer {
+        for (prefix, is_newer, age) in comparisons {
+            let relies_on_peers = !self.is_reader(prefix);
+            let copy = self.copy(prefix);
+            if !is_newer {
                 copy.confirm_through_peer(age);
-                copy.watch_failing &= !learns || copy.is_older_than(patience);
+                copy.is_store_failing &= !relies_on_peers || copy.is_older_than(refresh_age);
                 continue;
             }
             let was_known = copy.is_known_behind();
-            let stands_still = copy.is_behind_for(watch_lead(subject));
-            let unanswered = copy.watch_failing || copy.is_older_than(patience);
-            let lagging = learns || unanswered || stands_still;
-            let fetching = copy.fetching;
-            if subject == StorePrefix::Configuration && !was_known {
+            let is_stalled = copy.is_behind_for(watch_head_start(prefix));
+            let is_unanswered = copy.is_store_failing || copy.is_older_than(refresh_age);
+            let needs_fetch = relies_on_peers || is_unanswered || is_stalled;
+            let is_fetching = copy.is_fetching;
+            if prefix == StorePrefix::Configuration && !was_known {
                 self.publish();
             }
-            if lagging && !fetching && self.may_fetch(subject, peer) {
-                self.copy(subject).fetching = true;
-                let source = self.source_of(subject, peer);
-                self.fetch(subject, source, context);
+            if needs_fetch && !is_fetching && self.may_fetch(prefix, peer) {
+                self.copy(prefix).is_fetching = true;
+                let source = self.fetch_source(prefix, peer);
+                self.fetch(prefix, source, context);
             }
         }
     }
 
-    /// Whether a peer's copy is asked for now. Changes of the servers come often:
-    /// in a large fleet, those of a moment are asked for together, at a node of
-    /// the same zone if one has them soon.
-    fn may_fetch(&mut self, subject: StorePrefix, peer: &PeerCopies) -> bool {
+    /// Whether a peer's copy may be fetched now. Servers change often: in a large fleet, changes
+    /// shortly after one another are fetched together, preferably from a node of the same zone.
+    fn may_fetch(&mut self, prefix: StorePrefix, peer: &PeerCopies) -> bool {
         let now = self.now();
-        if subject == StorePrefix::Configuration || self.peers.is_small_fleet() {
+        if prefix == StorePrefix::Configuration || self.peers.is_small_fleet() {
             return true;
         }
-        let near = peer.zone == self.context.settings.zone;
-        let pause = if near { GATHER_NEAR } else { GATHER_FAR };
-        let due = self.servers_fetched.is_none_or(|fetched| now.since(fetched) >= pause);
-        if due {
+        let is_same_zone = peer.zone == self.context.settings.zone;
+        let interval =
+            if is_same_zone { FETCH_INTERVAL_SAME_ZONE } else { FETCH_INTERVAL_OTHER_ZONE };
+        let is_due = self.servers_fetched.is_none_or(|fetched| now.since(fetched) >= interval);
+        if is_due {
             self.servers_fetched = Some(now);
         }
-        due
+        is_due
     }
 
-    /// The node whose copy is fetched. A configuration may be large, and all nodes
-    /// that hear of it from one hub want it at once: they spread over the hubs that have it,
-    /// which ask the nodes that read the store, and over such nodes of their own zone. From
-    /// the four nodes that read the store alone, 301 nodes before 2,999 servers had a
-    /// configuration in force after 2.6 s (played day), and most of it crossed zones.
-    fn source_of(&self, subject: StorePrefix, peer: &PeerCopies) -> SocketAddrV4 {
-        if subject == StorePrefix::Servers || self.peers.is_small_fleet() {
+    /// The node whose copy is fetched. A configuration may be large, and all nodes that learn of
+    /// it from one hub request it at once. They spread their requests over the hubs that have it
+    /// and the nodes of their own zone that read the store; hubs request it from any node that
+    /// reads the store. When all nodes used only the four nodes that read the store, 301 nodes
+    /// with 2,999 servers had the configuration in force after 2.6 s (simulated day), and most
+    /// of the traffic crossed zones.
+    fn fetch_source(&self, prefix: StorePrefix, peer: &PeerCopies) -> SocketAddrV4 {
+        if prefix == StorePrefix::Servers || self.peers.is_small_fleet() {
             return peer.address;
         }
         let is_hub = self.peers.is_hub();
-        let reads_near = |member: &&Member| {
+        let is_source = |member: &&Member| {
             member.entry.reads_store && (is_hub || member.zone == self.context.settings.zone)
         };
-        let readers = self.peers.members().iter().filter(reads_near);
+        let readers = self.peers.members().iter().filter(is_source);
         let readers: Vec<SocketAddrV4> = readers.map(Member::address).collect();
-        let place = rand::random_range(0..=readers.len());
-        readers.get(place).copied().unwrap_or(peer.address)
+        let index = rand::random_range(0..=readers.len());
+        readers.get(index).copied().unwrap_or(peer.address)
     }
 
-    fn fetch(&self, subject: StorePrefix, peer: SocketAddrV4, context: &mut Context<FleetState>) {
+    fn fetch(&self, prefix: StorePrefix, peer: SocketAddrV4, context: &mut Context<FleetState>) {
         let fleet = context.address();
-        // A configuration is one item, and its newest version need not be the store's.
-        let after = match subject {
+        // The configuration is a single item, and its newest version may be one that the store
+        // has lost.
+        let after = match prefix {
             StorePrefix::Configuration => StorePosition::default(),
-            StorePrefix::Servers => self.copies[&subject].mirror.position,
+            StorePrefix::Servers => self.copies[&prefix].mirror.position,
         };
         actix_rt::spawn(async move {
-            let result = fetch_update(peer, subject, after).await;
+            let result = fetch_update(peer, prefix, after).await;
             if result.is_err() {
-                clock::sleep(FETCH_PAUSE).await;
+                clock::sleep(FETCH_RETRY_DELAY).await;
             }
-            fleet.do_send(PeerCopy { subject, peer, update: result.ok() });
+            fleet.do_send(FetchCompleted { prefix, peer, update: result.ok() });
         });
     }
 }
 
-/// Time that this node's own watch has to bring what a peer already has.
-fn watch_lead(subject: StorePrefix) -> Duration {
-    match subject {
+/// Time that this node's own watch has to deliver a change that a peer already has, before the
+/// peer's copy is fetched.
+fn watch_head_start(prefix: StorePrefix) -> Duration {
+    match prefix {
         StorePrefix::Configuration => Duration::from_millis(400),
         StorePrefix::Servers => Duration::from_millis(450),
     }
 }
 
-/// A peer's copy, or none where it did not answer.
+/// Result of a fetch from a peer.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(super) struct PeerCopy {
-    pub(super) subject: StorePrefix,
+pub(super) struct FetchCompleted {
+    pub(super) prefix: StorePrefix,
     pub(super) peer: SocketAddrV4,
+    /// `None` if the fetch failed.
     pub(super) update: Option<MirrorUpdate>,
 }
 
-impl Handler<PeerCopy> for FleetState {
+impl Handler<FetchCompleted> for FleetState {
     type Result = ();
 
-    fn handle(&mut self, answer: PeerCopy, _: &mut Context<FleetState>) {
-        let copy = self.copy(answer.subject);
-        copy.fetching = false;
-        let Some(update) = answer.update else { return };
-        if copy.update(answer.subject, update) {
-            let (what, at) = (answer.subject.name(), copy.mirror.position.to_string());
-            info!("[peers] a newer copy was taken", kv: { what, peer = answer.peer.to_string(), at });
-            self.take_in(answer.subject);
-            if answer.subject == StorePrefix::Configuration {
-                // Those that ask this node for digests wait for it.
+    fn handle(&mut self, fetched: FetchCompleted, _: &mut Context<FleetState>) {
+        let copy = self.copy(fetched.prefix);
+        copy.is_fetching = false;
+        let Some(update) = fetched.update else { return };
+        if copy.update(fetched.prefix, update) {
+            let (what, at) = (fetched.prefix.name(), copy.mirror.position.to_string());
+            info!("[peers] updated the copy from a peer", kv: { what, peer = fetched.peer.to_string(), at });
+            self.apply_copy(fetched.prefix);
+            if fetched.prefix == StorePrefix::Configuration {
+                // Nodes that request digests from this node wait for it.
                 self.context.board.heartbeat_wanted.notify_one();
             }
         }
--- a/crates/cometmoor-gateway/src/control/fleet/entries.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/entries.rs
@@ -1,4 +1,4 @@
-//! The servers' entries in the store, and which of them name a server to use.
+//! The servers' entries in the store, and which of them are valid.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -17,94 +17,95 @@
 use crate::dialect::Dialect;
 use crate::mirror::Mirror;
 
-/// Most entries whose faults are logged one by one when they come at once.
-const MOST_LINES: usize = 16;
+/// Maximum number of invalid entries that are logged individually if they appear at once.
+const MAX_LINES: usize = 16;
 
-/// An entry that names no server to use.
+/// An entry that is ignored because it is invalid.
 struct IgnoredEntry {
     /// Revision of the entry.
     revision: u64,
     reason: String,
 }
 
-/// All entries as they were last read, those of ended servers included.
+/// All entries of the last copy, including those of terminated servers.
 pub(super) struct ServerEntries {
-    /// Era of the store that the revisions below are of.
+    /// Era of the store in which the revisions below were counted.
     era: StoreEra,
-    readable: HashMap<String, ServerEntry>,
+    valid: HashMap<String, ServerEntry>,
     ignored: HashMap<String, IgnoredEntry>,
-    restored: RestoredRegistry,
+    restored_registry: RestoredRegistry,
 }
 
 impl ServerEntries {
-    /// No entries, of servers that write theirs so often.
+    /// Creates an empty set for servers that write their entries at the given heartbeat
+    /// interval.
     pub(super) fn new(heartbeat: Duration) -> ServerEntries {
         ServerEntries {
             era: StoreEra::default(),
-            readable: HashMap::new(),
+            valid: HashMap::new(),
             ignored: HashMap::new(),
-            restored: RestoredRegistry::new(heartbeat),
+            restored_registry: RestoredRegistry::new(heartbeat),
         }
     }
 
-    /// Whether what is believed of the servers changes with time.
+    /// Whether a restore of the store was so recent that the servers to use change with time.
     pub(super) fn awaits_rewrites(&self) -> bool {
-        self.restored.awaits_rewrites()
+        self.restored_registry.awaits_rewrites()
     }
 
-    /// Tells the servers to use by a copy of the store, and by what was believed until now.
-    pub(super) fn believe(
+    /// Returns the servers to use, by a copy of the store's entries and by the `previous` ones.
+    pub(super) fn effective_servers(
         &mut self,
         copy: &Mirror,
         dialect: &dyn Dialect,
         configuration: Option<&GatewayConfiguration>,
-        until_now: &ServersByIncarnation,
+        previous: &ServersByIncarnation,
     ) -> EffectiveServers {
         let now = clock::now();
-        let is_restored = !self.readable.is_empty() && self.era < copy.position.era;
+        let is_restored = !self.valid.is_empty() && self.era < copy.position.era;
         if is_restored {
-            self.restored.note_restore(until_now.clone(), copy.position.revision, now);
+            self.restored_registry.note_restore(previous.clone(), copy.position.revision, now);
         }
-        let entries = self.read(copy, dialect, configuration);
+        let entries = self.parse(copy, dialect, configuration);
         let prefix = dialect.servers_prefix();
-        let ended = copy.removed_keys().filter_map(|key| key.strip_prefix(prefix)).collect();
-        let believed = self.restored.effective_servers(entries, &ended, now);
+        let removed_ids = copy.removed_keys().filter_map(|key| key.strip_prefix(prefix)).collect();
+        let effective = self.restored_registry.effective_servers(entries, &removed_ids, now);
         if is_restored {
-            log_restore(&believed);
+            log_restore(&effective);
         }
-        let gone = until_now.keys().filter(|server| !believed.servers.contains_key(*server));
-        self.restored.note_removed(gone, now);
-        believed
+        let removed = previous.keys().filter(|server| !effective.servers.contains_key(*server));
+        self.restored_registry.note_removed(removed, now);
+        effective
     }
 
-    /// Reads the entries of a copy of the store; tells the servers to use, by
-    /// incarnation. Other writers may leave entries there: one that cannot be read, or
-    /// whose service nobody configured, names no server and displaces none. An entry
-    /// that was good and no longer is takes its server away until it is good again.
-    fn read(
+    /// Parses the entries of a copy of the store and returns the servers by incarnation.
+    /// Others may write entries there: one that cannot be parsed, or whose service is not
+    /// configured, is ignored and replaces no server. If an entry becomes invalid, its server
+    /// is not used until the entry is valid again.
+    fn parse(
         &mut self,
         copy: &Mirror,
         dialect: &dyn Dialect,
         configuration: Option<&GatewayConfiguration>,
     ) -> ServersByIncarnation {
         let is_configured = |record: &ServerRecord| {
-            configuration.is_none_or(|known| known.services.contains_key(&record.service))
+            configuration.is_none_or(|current| current.services.contains_key(&record.service))
         };
-        let mut readable = HashMap::with_capacity(copy.items.len());
+        let mut valid = HashMap::with_capacity(copy.items.len());
         let mut ignored = HashMap::new();
-        let same_era = self.era == copy.position.era;
+        let is_same_era = self.era == copy.position.era;
         for (key, item) in &copy.items {
             let revision = item.revision;
-            let is_same = |known: &&ServerEntry| same_era && known.revision == revision;
-            let known = self.readable.get(key).filter(is_same);
-            let parsed = match known {
-                Some(known) => Ok(known.record.clone()),
+            let is_unchanged = |entry: &&ServerEntry| is_same_era && entry.revision == revision;
+            let unchanged = self.valid.get(key).filter(is_unchanged);
+            let parsed = match unchanged {
+                Some(entry) => Ok(entry.record.clone()),
                 None => dialect.parse_server(key, &item.value).map(Arc::new),
             };
             let reason = match parsed {
                 Ok(record) if is_configured(&record) => {
                     let create_revision = item.create_revision;
-                    readable.insert(key.clone(), ServerEntry { revision, create_revision, record });
+                    valid.insert(key.clone(), ServerEntry { revision, create_revision, record });
                     continue;
                 }
                 Ok(record) => format!("service {:?} is not configured", record.service),
@@ -114,54 +115,54 @@
         }
         self.log_newly_ignored(&ignored);
         self.ignored = ignored;
-        let servers = without_replaced(&readable);
-        self.readable = readable;
+        let servers = without_replaced(&valid);
+        self.valid = valid;
         self.era = copy.position.era;
         servers
     }
 
-    /// Number of entries that name no server to use.
-    pub(super) fn ignored(&self) -> usize {
+    /// Number of entries that are ignored because they are invalid.
+    pub(super) fn ignored_count(&self) -> usize {
         self.ignored.len()
     }
 
-    /// One line for each entry when it begins to be ignored, or is written anew.
+    /// Logs each entry that is newly ignored, or that is ignored and has been written again.
     fn log_newly_ignored(&self, ignored: &HashMap<String, IgnoredEntry>) {
         let is_new = |(key, entry): &(&String, &IgnoredEntry)| {
-            self.ignored.get(*key).is_none_or(|known| known.revision != entry.revision)
+            self.ignored.get(*key).is_none_or(|previous| previous.revision != entry.revision)
         };
-        let fresh: Vec<_> = ignored.iter().filter(is_new).collect();
-        for (key, entry) in fresh.iter().take(MOST_LINES) {
+        let new: Vec<_> = ignored.iter().filter(is_new).collect();
+        for (key, entry) in new.iter().take(MAX_LINES) {
             let (peer, reason, revision) = (key.as_str(), entry.reason.as_str(), entry.revision);
-            warn!("[servers] an entry names no server to use", kv: { step = "parse", peer, revision, reason });
+            warn!("[servers] ignoring an invalid entry", kv: { step = "parse", peer, revision, reason });
         }
-        if fresh.len() > MOST_LINES {
-            let entries = fresh.len();
-            warn!("[servers] many entries name no server to use", kv: { step = "parse", entries });
+        if new.len() > MAX_LINES {
+            let entries = new.len();
+            warn!("[servers] ignoring many invalid entries", kv: { step = "parse", entries });
         }
     }
 }
 
-fn log_restore(believed: &EffectiveServers) {
-    let servers = believed.servers.len();
-    let (unwritten, passed_over) = (believed.unwritten, believed.passed_over);
-    let still_leaving = believed.still_leaving.len();
-    info!("[servers] the store was restored; they are taken by what was known before, too", kv: { servers, unwritten, passed_over, still_leaving });
+fn log_restore(effective: &EffectiveServers) {
+    let servers = effective.servers.len();
+    let (unwritten, passed_over) = (effective.unwritten, effective.passed_over);
+    let still_leaving = effective.still_leaving.len();
+    info!("[servers] the store was restored; the servers known before are taken into account", kv: { servers, unwritten, passed_over, still_leaving });
 }
 
-/// The servers by incarnation, without those whose address a later one has: they have
-/// ended, though their entries have not run out yet.
+/// The servers by incarnation, without those whose address a later one has: these have
+/// terminated, although their entries have not expired yet.
 fn without_replaced(entries: &HashMap<String, ServerEntry>) -> ServersByIncarnation {
     let mut latest: HashMap<SocketAddrV4, &ServerEntry> = HashMap::new();
-    for known in entries.values() {
-        let holder = latest.entry(known.record.address).or_insert(known);
-        if known
+    for entry in entries.values() {
+        let holder = latest.entry(entry.record.address).or_insert(entry);
+        if entry
             .record
-            .is_later_than(&holder.record, known.create_revision > holder.create_revision)
+            .is_later_than(&holder.record, entry.create_revision > holder.create_revision)
         {
-            *holder = known;
+            *holder = entry;
         }
     }
     let servers = latest.into_values();
-    servers.map(|known| (known.record.incarnation.clone(), known.clone())).collect()
+    servers.map(|entry| (entry.record.incarnation.clone(), entry.clone())).collect()
 }
--- a/crates/cometmoor-gateway/src/control/fleet/messages.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/messages.rs
@@ -1,4 +1,4 @@
-//! What other parts tell the state of the fleet, and ask of it.
+//! Messages by which other tasks update and query the state of the fleet.
 
 use std::collections::HashSet;
 use std::net::SocketAddrV4;
@@ -26,20 +26,20 @@
 use crate::peer::StorePrefix;
 use crate::published::{Phase, ShutdownTimes};
 
-/// Time after its start by which a node has heard others.
-const OTHERS_KNOWN_AFTER: Duration = Duration::from_secs(1);
+/// Time after its start by which a node has received heartbeats of other nodes.
+const PEER_DISCOVERY_TIME: Duration = Duration::from_secs(1);
 
-/// A full read of a prefix.
+/// Result of a full read of a prefix from the store.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ReadCompleted {
-    /// Which prefix.
+    /// The prefix.
     pub prefix: StorePrefix,
     /// What was read.
     pub mirror: Mirror,
-    /// Point that the copy was of when the store was asked.
+    /// Position of this node's copy when the read began.
     pub known_position: StorePosition,
-    /// When the store was asked.
+    /// When the read began.
     pub requested_at: BootInstant,
 }
 
@@ -49,27 +49,27 @@
     fn handle(&mut self, mut read: ReadCompleted, _: &mut Context<FleetState>) {
         read.mirror.position =
             self.context.store.eras().classify_read(read.mirror.position, read.known_position);
-        let (subject, era) = (read.prefix, read.mirror.position.era);
-        let copy = self.copy(subject);
-        copy.confirm(subject);
-        if copy.update(subject, MirrorUpdate::Full(read.mirror)) {
-            self.take_in(subject);
+        let (prefix, era) = (read.prefix, read.mirror.position.era);
+        let copy = self.copy(prefix);
+        copy.confirm(prefix);
+        if copy.update(prefix, MirrorUpdate::Full(read.mirror)) {
+            self.apply_copy(prefix);
         }
-        self.prove(subject, era, read.requested_at);
+        self.record_proof(prefix, era, read.requested_at);
     }
 }
 
-/// Changes that a watch told.
+/// Answer of the store to a watch.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ChangesReceived {
-    /// Which prefix.
+    /// The prefix.
     pub prefix: StorePrefix,
-    /// Changes in order; none where there were none.
+    /// Changes in order; empty if there were none.
     pub events: Vec<WatchEvent>,
-    /// Era of the store that they are of.
+    /// Era of the answer.
     pub era: StoreEra,
-    /// When the store was asked.
+    /// When the call began.
     pub requested_at: BootInstant,
 }
 
@@ -79,26 +79,26 @@
     fn handle(&mut self, changed: ChangesReceived, _: &mut Context<FleetState>) {
         let copy = self.copy(changed.prefix);
         if copy.mirror.position.era != changed.era {
-            // A peer has brought a copy of a newer era meanwhile.
+            // A copy of a newer era was received from a peer in the meantime.
             return;
         }
         copy.confirm(changed.prefix);
         if copy.mirror.apply_events(changed.events) {
-            self.take_in(changed.prefix);
-            // Nodes that do not read the store learn of it by the heartbeat.
+            self.apply_copy(changed.prefix);
+            // Nodes that do not read the store learn of the change by the heartbeat.
             self.context.board.heartbeat_wanted.notify_one();
         }
-        self.prove(changed.prefix, changed.era, changed.requested_at);
+        self.record_proof(changed.prefix, changed.era, changed.requested_at);
     }
 }
 
-/// The store did not answer a watch or a read.
+/// A watch or read of the store failed.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct StoreCallFailed {
-    /// Which prefix.
+    /// The prefix.
     pub prefix: StorePrefix,
-    /// What happened.
+    /// Why it failed.
     pub reason: String,
 }
 
@@ -107,16 +107,16 @@
 
     fn handle(&mut self, failed: StoreCallFailed, _: &mut Context<FleetState>) {
         let copy = self.copy(failed.prefix);
-        if !copy.watch_failing {
+        if !copy.is_store_failing {
             let age_millis = copy.age_millis();
             let what = failed.prefix.name();
-            warn!("[store] does not answer; peers are asked", kv: { step = "watch", what, reason = failed.reason, age_millis });
+            warn!("[store] call failed; fetching from peers instead", kv: { step = "watch", what, reason = failed.reason, age_millis });
         }
-        copy.watch_failing = true;
+        copy.is_store_failing = true;
     }
 }
 
-/// A datagram of another node.
+/// A datagram from another node.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct PeerMessageReceived(pub PeerMessage);
@@ -124,37 +124,38 @@
 impl Handler<PeerMessageReceived> for FleetState {
     type Result = ();
 
-    fn handle(&mut self, told: PeerMessageReceived, context: &mut Context<FleetState>) {
-        match told.0 {
+    fn handle(&mut self, received: PeerMessageReceived, context: &mut Context<FleetState>) {
+        match received.0 {
             PeerMessage::Heartbeat(heartbeat) => {
-                self.take_heartbeat(heartbeat, context, Membership::receive_heartbeat);
+                self.handle_heartbeat(heartbeat, context, Membership::receive_heartbeat);
             }
-            PeerMessage::HeartbeatToHub(heartbeat, question) => {
-                let take = |peers: &mut Membership, heartbeat, now| {
-                    peers.receive_digest_request(heartbeat, question, now)
+            PeerMessage::HeartbeatToHub(heartbeat, request) => {
+                let receive = |peers: &mut Membership, heartbeat, now| {
+                    peers.receive_digest_request(heartbeat, request, now)
                 };
-                self.take_heartbeat(heartbeat, context, take);
+                self.handle_heartbeat(heartbeat, context, receive);
             }
             PeerMessage::ZoneDigest(digest) => {
-                self.take_digest(digest, context, Membership::receive_zone_digest);
+                self.handle_digest(digest, context, Membership::receive_zone_digest);
             }
             PeerMessage::FleetDigest(digest) => {
-                self.take_digest(digest, context, Membership::receive_fleet_digest);
+                self.handle_digest(digest, context, Membership::receive_fleet_digest);
             }
-            PeerMessage::ProofAnswer(answer) => self.take_proof(&answer),
-            // It is answered at once, not here.
+            PeerMessage::ProofAnswer(answer) => self.handle_proof_answer(&answer),
+            // The heartbeat task answers requests by a `GetProof`.
             PeerMessage::ProofRequest(_) => {}
         }
-        self.sum_load();
+        self.update_remote_load();
     }
 }
 
 impl FleetState {
-    fn take_heartbeat(
+    /// Handles a heartbeat, which `receive` adds to the membership.
+    fn handle_heartbeat(
         &mut self,
         heartbeat: Heartbeat,
         context: &mut Context<FleetState>,
-        take: impl FnOnce(&mut Membership, Heartbeat, Timestamp) -> PeerChange,
+        receive: impl FnOnce(&mut Membership, Heartbeat, Timestamp) -> PeerChange,
     ) {
         if heartbeat.peer_address == self.context.settings.peer_address {
             return;
@@ -171,16 +172,17 @@
         self.merge_signals(&heartbeat.signals, &node);
         self.demand.receive(&heartbeat, now);
         let leads = heartbeat.placement.is_some();
-        let waits = !heartbeat.awaited_models.is_empty();
+        let has_waiting_requests = !heartbeat.awaited_models.is_empty();
         if !leads && self.peers.leads(heartbeat.peer_address) {
-            // It says itself that it has stopped; nobody need wait for its silence.
+            // It reports itself that it no longer leads, so that a new leader does not have to
+            // wait until it has been silent for long enough.
             self.leader_heard = None;
         }
-        let change = take(&mut self.peers, heartbeat, now);
+        let change = receive(&mut self.peers, heartbeat, now);
         if leads {
             self.publish_placement();
         }
-        self.ask_for_plan(waits);
+        self.request_planning(has_waiting_requests);
         if change != PeerChange::None {
             self.context.quarantine.report_again();
             self.context.signals.report_again();
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Takes what another node reports of servers.
+    /// Merges another node's reports on servers.
     fn merge_signals(&self, reports: &[SignalReport], peer: &str) {
         for (server, change) in self.context.signals.merge(reports) {
             let name = self.context.board.fleet.load().incarnation(server);
@@ -198,11 +200,12 @@
         }
     }
 
-    fn take_digest(
+    /// Handles a digest, which `receive` adds to the membership.
+    fn handle_digest(
         &mut self,
         digest: Digest,
         context: &mut Context<FleetState>,
-        take: impl FnOnce(&mut Membership, Digest, Timestamp),
+        receive: impl FnOnce(&mut Membership, Digest, Timestamp),
     ) {
         let copies = PeerCopies {
             address: digest.hub,
@@ -214,14 +217,14 @@
         self.merge_signals(&digest.signals, &digest.hub.to_string());
         let leads = digest.placement.is_some();
         let now = self.now();
-        take(&mut self.peers, digest, now);
+        receive(&mut self.peers, digest, now);
         if leads {
             self.publish_placement();
         }
     }
 }
 
-/// Addresses at which nodes may be.
+/// Peer addresses of nodes, found in the store.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct ContactsFound(pub Vec<SocketAddrV4>);
@@ -237,17 +240,17 @@
     }
 }
 
-/// What a node sends next, and how long it rests then.
+/// The messages that a node sends next, and what determines the time until it sends again.
 pub struct NextMessages {
     /// The messages.
     pub outgoing: Vec<OutgoingMessage>,
-    /// Whether every node tells every other one.
+    /// Whether all nodes exchange messages directly.
     pub is_small_fleet: bool,
-    /// Nodes that are there.
+    /// Number of other live nodes.
     pub nodes: u32,
 }
 
-/// Asks what this node sends next.
+/// Requests the messages that this node sends next.
 #[derive(Message)]
 #[rtype(result = "NextMessages")]
 pub struct GetNextMessages;
@@ -263,7 +266,7 @@
     }
 }
 
-/// Begins the planned stop: the node says that it is leaving.
+/// Begins the planned shutdown: the node reports that it is leaving.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct BeginShutdown(pub ShutdownTimes);
@@ -273,12 +276,12 @@
 
     fn handle(&mut self, begin: BeginShutdown, _: &mut Context<FleetState>) {
         self.phase = Phase::Draining;
-        self.stop = Some(begin.0);
+        self.shutdown = Some(begin.0);
         self.publish();
     }
 }
 
-/// Ends the taking of requests.
+/// Makes the node accept no new requests.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct StopAcceptingRequests;
@@ -292,14 +295,14 @@
     }
 }
 
-/// Asks for what a copy has beyond a point in the store's history, as peers read it; none
-/// where nothing was read.
+/// Requests the changes that a peer's copy lacks, encoded for the peer; `None` if this node has
+/// no copy.
 #[derive(Message)]
 #[rtype(result = "Option<Bytes>")]
 pub struct GetUpdate {
-    /// Which prefix.
+    /// The prefix.
     pub prefix: StorePrefix,
-    /// The point.
+    /// Position of the peer's copy.
     pub after: StorePosition,
 }
 
@@ -307,11 +310,11 @@
     type Result = MessageResult<GetUpdate>;
 
     fn handle(&mut self, get: GetUpdate, _: &mut Context<FleetState>) -> Self::Result {
-        MessageResult(self.copy(get.prefix).encoded_since(get.after))
+        MessageResult(self.copy(get.prefix).encoded_changes_since(get.after))
     }
 }
 
-/// Asks what the watcher of a copy is to do next, and which point the copy is of.
+/// Requests what the watcher of a copy does next, and the position of the copy.
 #[derive(Message)]
 #[rtype(result = "(NextCall, StorePosition)")]
 pub struct GetNextCall(pub StorePrefix);
@@ -325,7 +328,7 @@
     }
 }
 
-/// Asks which point a copy is of.
+/// Requests the position of a copy.
 #[derive(Message)]
 #[rtype(result = "StorePosition")]
 pub struct GetPosition(pub StorePrefix);
@@ -338,7 +341,7 @@
     }
 }
 
-/// Asks how long an open watch of a copy may go on saying nothing.
+/// Requests the time for which an open watch of a copy may stay silent.
 #[derive(Message)]
 #[rtype(result = "Duration")]
 pub struct GetTimeUntilRefresh(pub StorePrefix);
@@ -351,8 +354,8 @@
     }
 }
 
-/// Asks how long to wait before the store is asked again about a copy, after so
-/// many failures before the last one.
+/// Requests the delay before the next call of the store for a copy, after the given number of
+/// failures before the last one.
 #[derive(Message)]
 #[rtype(result = "Duration")]
 pub struct GetRetryDelay(pub StorePrefix, pub u32);
@@ -365,18 +368,18 @@
     }
 }
 
-/// How a node comes to its first copy of a prefix that is large.
+/// How a node gets its first copy of a large prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadPlan {
     /// Read it from the store.
     Read,
     /// Wait for a peer's copy.
     WaitForPeers,
-    /// A peer's copy has come.
+    /// A peer's copy has arrived.
     HasCopy,
 }
 
-/// Asks whether a large prefix is to be read.
+/// Requests how to get the first copy of a large prefix.
 #[derive(Message)]
 #[rtype(result = "ReadPlan")]
 pub struct GetReadPlan(pub StorePrefix);
@@ -386,9 +389,9 @@
 
     fn handle(&mut self, get: GetReadPlan, _: &mut Context<FleetState>) -> Self::Result {
         let has_copy = self.copies[&get.0].mirror.exists();
-        // Before it has heard the others, every node takes itself for a reader.
-        let knows_others = clock::elapsed(self.started) >= OTHERS_KNOWN_AFTER;
-        MessageResult(match (has_copy, knows_others && self.reads(get.0)) {
+        // Before a node has heard from others, it considers itself a reader.
+        let knows_peers = clock::elapsed(self.started) >= PEER_DISCOVERY_TIME;
+        MessageResult(match (has_copy, knows_peers && self.is_reader(get.0)) {
             (true, _) => ReadPlan::HasCopy,
             (false, true) => ReadPlan::Read,
             (false, false) => ReadPlan::WaitForPeers,
@@ -396,7 +399,7 @@
     }
 }
 
-/// Sets what this node tells of the servers' models while it leads.
+/// Sets the placement that this node reports while it leads; `None` when it no longer leads.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct SetPlacement(pub Option<Placement>);
@@ -413,19 +416,19 @@
     }
 }
 
-/// The demand over the fleet, as of a time.
+/// The demand of the whole fleet at a time.
 pub struct DemandView {
-    /// What is asked for a second.
+    /// Demand for each model, per second.
     pub rates: FleetDemandRates,
-    /// The time that its rates are asked for.
+    /// Time of the view, at which the rates are evaluated.
     pub now: Timestamp,
-    /// When the first request was counted.
+    /// When the first request was counted; `None` if there was none.
     pub first_request: Option<Timestamp>,
     /// Models and adapters that requests wait for now.
     pub awaited_models: HashSet<ModelKey>,
 }
 
-/// Asks for the demand over the fleet.
+/// Requests the demand of the whole fleet.
 #[derive(Message)]
 #[rtype(result = "DemandView")]
 pub struct GetDemand;
@@ -443,8 +446,8 @@
     }
 }
 
-/// Asks for the peer addresses of the nodes that were heard lately and that the
-/// store answers.
+/// Requests the peer addresses of the live nodes that the store answers, the readers of the
+/// store first.
 #[derive(Message)]
 #[rtype(result = "Vec<SocketAddrV4>")]
 pub struct GetPeersReachingStore;
@@ -454,7 +457,7 @@
 
     fn handle(&mut self, _: GetPeersReachingStore, _: &mut Context<FleetState>) -> Self::Result {
         let members = self.peers.members().iter().filter(|member| !member.entry.store_fails);
-        // Those that read the store are known to be answered by it.
+        // The store is known to answer the nodes that read it.
         let (readers, others): (Vec<&Member>, Vec<&Member>) =
             members.partition(|member| member.entry.reads_store);
         MessageResult(readers.into_iter().chain(others).map(Member::address).collect())
--- a/crates/cometmoor-gateway/src/control/fleet/mod.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! State of the fleet as this node believes it.
+//! State of the fleet as this node knows it.
 
 mod changes;
 mod copies;
@@ -41,20 +41,21 @@
 use crate::peer::StorePrefix;
 use crate::published::{FleetSnapshot, NodeEndpoint, Phase, PlacementView, ShutdownTimes};
 
-/// How often silent peers are noticed.
-const TICK: Duration = Duration::from_millis(250);
-/// Nodes that read the configuration in a small fleet: all of them.
-const READERS_OF_CONFIGURATION: usize = 16;
-/// Nodes that read the store in a larger fleet; the others learn from them.
+/// Interval of the periodic tasks, among them the detection of silent peers.
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
+/// Number of nodes that read the configuration in a small fleet: all of them.
+const CONFIGURATION_READERS: usize = 16;
+/// Number of nodes that read the store in a large fleet. The others get their copies from
+/// peers.
 const READERS: usize = 4;
-/// Nodes that read the servers' entries in a small fleet.
-const READERS_OF_SMALL_FLEET: usize = 3;
-/// Least time between two heartbeats that tell the load in a large fleet.
-const LOADS_EACH: Duration = Duration::from_millis(180);
-/// Time between two log lines on what this node has sent.
-const TRAFFIC_LINE_EACH: Duration = Duration::from_secs(10);
-/// Time between two sums of the other nodes' load.
-const LOAD_PAUSE: Duration = Duration::from_millis(40);
+/// Number of nodes that read the servers' entries in a small fleet.
+const SMALL_FLEET_SERVER_READERS: usize = 3;
+/// Minimum time between two heartbeats that report the load in a large fleet.
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(180);
+/// Time between two log lines on the control traffic of this node.
+const TRAFFIC_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Minimum time between two sums of the other nodes' load.
+const REMOTE_LOAD_INTERVAL: Duration = Duration::from_millis(40);
 
 /// The actor that holds the state of the fleet.
 pub struct FleetState {
@@ -67,33 +68,32 @@
     phase: Phase,
     copies: HashMap<StorePrefix, Copy>,
     configuration: ActiveConfiguration,
-    /// Whether the newest configuration that the store is known to hold can be read.
-    is_readable: bool,
-    /// The newest version, while the store has lost it.
+    /// Whether the newest configuration that the store is known to hold is valid.
+    is_configuration_valid: bool,
+    /// The version of the configuration, while the store has lost it.
     lost_version: Option<u64>,
     entries: ServerEntries,
-    /// By incarnation.
     servers: ServersByIncarnation,
-    load_summed: Timestamp,
+    remote_load_updated: Timestamp,
     servers_fetched: Option<Timestamp>,
     peers: Membership,
     logged_members: BTreeSet<SocketAddrV4>,
-    /// Copies that this node was last logged to read itself.
-    logged_reading: HashMap<StorePrefix, bool>,
-    /// Load on the servers that was last told to others.
-    told_loads: Vec<(ServerKey, ServerLoad)>,
-    loads_told: Option<Timestamp>,
+    /// Whether this node was a reader of a prefix when that was last logged.
+    logged_readers: HashMap<StorePrefix, bool>,
+    /// Load on the servers that was last reported to other nodes.
+    reported_loads: Vec<(ServerKey, ServerLoad)>,
+    loads_reported_at: Option<Timestamp>,
     demand: FleetDemandMeter,
     traffic_logged: Timestamp,
     placement: Option<Placement>,
     leader_heard: Option<BootInstant>,
-    stop: Option<ShutdownTimes>,
+    shutdown: Option<ShutdownTimes>,
     sequence: u64,
     generation: u64,
 }
 
 impl FleetState {
-    /// The state of a node that knows nothing yet.
+    /// The state of a node that has just started.
     pub fn new(context: Rc<ControlContext>) -> FleetState {
         let settings = &context.settings;
         let mut peers = Membership::new(settings.peer_address, &settings.zone);
@@ -109,24 +109,24 @@
             suspensions: SuspensionWatch::start(),
             started: clock::now(),
             phase: Phase::Starting,
-            copies: HashMap::from_iter(StorePrefix::ALL.map(|subject| (subject, Copy::default()))),
+            copies: HashMap::from_iter(StorePrefix::ALL.map(|prefix| (prefix, Copy::default()))),
             configuration: ActiveConfiguration::default(),
-            is_readable: true,
+            is_configuration_valid: true,
             lost_version: None,
             entries: ServerEntries::new(heartbeat),
             servers: HashMap::new(),
-            load_summed: Timestamp(0),
+            remote_load_updated: Timestamp(0),
             servers_fetched: None,
             peers,
             logged_members: BTreeSet::new(),
-            logged_reading: HashMap::new(),
-            told_loads: Vec::new(),
-            loads_told: None,
+            logged_readers: HashMap::new(),
+            reported_loads: Vec::new(),
+            loads_reported_at: None,
             demand: FleetDemandMeter::default(),
             traffic_logged: Timestamp(0),
             placement: None,
             leader_heard: None,
-            stop: None,
+            shutdown: None,
             sequence: 0,
             generation: 0,
         }
@@ -136,161 +136,166 @@
         Timestamp(u64::try_from(clock::elapsed(self.started).as_millis()).unwrap_or(u64::MAX))
     }
 
-    /// Whether this node reads a prefix of the store itself. Entries of servers
-    /// change often, and each change costs each reader a call.
-    fn reads(&self, subject: StorePrefix) -> bool {
-        let readers = match subject {
-            StorePrefix::Configuration if self.peers.is_small_fleet() => READERS_OF_CONFIGURATION,
-            StorePrefix::Servers if self.peers.is_small_fleet() => READERS_OF_SMALL_FLEET,
+    /// Whether this node is one of those that read a prefix from the store. There are few
+    /// readers of the servers' entries, which change often: each change costs a call per reader.
+    fn is_reader(&self, prefix: StorePrefix) -> bool {
+        let readers = match prefix {
+            StorePrefix::Configuration if self.peers.is_small_fleet() => CONFIGURATION_READERS,
+            StorePrefix::Servers if self.peers.is_small_fleet() => SMALL_FLEET_SERVER_READERS,
             StorePrefix::Configuration | StorePrefix::Servers => READERS,
         };
         self.peers.is_reader(readers)
     }
 
     /// Whether the store does not answer this node.
-    fn store_fails(&self) -> bool {
-        self.copies.values().any(|copy| copy.watch_failing)
+    fn is_store_failing(&self) -> bool {
+        self.copies.values().any(|copy| copy.is_store_failing)
     }
 
-    fn copy(&mut self, subject: StorePrefix) -> &mut Copy {
-        self.copies.entry(subject).or_default()
+    fn copy(&mut self, prefix: StorePrefix) -> &mut Copy {
+        self.copies.entry(prefix).or_default()
     }
 
-    /// Takes what a copy holds into the state.
-    fn take_in(&mut self, subject: StorePrefix) {
-        match subject {
-            StorePrefix::Configuration => self.take_in_configuration(),
-            StorePrefix::Servers => self.take_in_servers(),
+    /// Updates the state from a copy that has changed, and publishes it.
+    fn apply_copy(&mut self, prefix: StorePrefix) {
+        match prefix {
+            StorePrefix::Configuration => self.apply_configuration(),
+            StorePrefix::Servers => self.apply_servers(),
         }
         self.publish();
     }
 
-    fn take_in_configuration(&mut self) {
+    fn apply_configuration(&mut self) {
         let dialect = self.context.dialect.clone();
         let key = dialect.configuration_key().to_owned();
         let copy = self.copy(StorePrefix::Configuration);
         let Some(item) = copy.mirror.items.get(&key) else { return };
-        let lost = item.is_lost.then_some(item.version).flatten();
+        let lost_version = item.is_lost.then_some(item.version).flatten();
         let parsed = dialect.parse_configuration(&item.value);
-        self.is_readable = parsed.is_ok();
+        self.is_configuration_valid = parsed.is_ok();
         match parsed {
             Ok(configuration) => {
                 let version = configuration.version;
                 let routes = configuration.route_count();
                 if self.configuration.offer(Arc::new(configuration)) {
                     info!("[configuration] version {version} is in force", kv: { version, routes });
-                    // It tells which services there are.
-                    self.take_in_servers();
+                    // Entries of servers are valid only if their services are configured.
+                    self.apply_servers();
                 }
             }
             Err(reason) => {
                 let reason = reason.to_string();
-                error!("[configuration] cannot be read; the last one stays in force", kv: { step = "parse", peer = "store", reason });
+                error!("[configuration] the stored configuration is invalid; the current one stays in force", kv: { step = "parse", peer = "store", reason });
             }
         }
-        if let (Some(version), true) = (lost, lost != self.lost_version) {
-            warn!("[configuration] the store has lost version {version}, which stays", kv: { version });
+        if let (Some(version), true) = (lost_version, lost_version != self.lost_version) {
+            warn!("[configuration] the store has lost version {version}; it stays in use", kv: { version });
         }
-        self.lost_version = lost;
+        self.lost_version = lost_version;
         if self.phase == Phase::Starting && self.configuration.get().is_some() {
             self.phase = Phase::Ready;
         }
     }
 
-    fn take_in_servers(&mut self) {
+    fn apply_servers(&mut self) {
         let copy = &self.copies[&StorePrefix::Servers].mirror;
         let configuration = self.configuration.get().map(Arc::as_ref);
-        let believed =
-            self.entries.believe(copy, &*self.context.dialect, configuration, &self.servers);
-        for incarnation in &believed.still_leaving {
+        let effective = self.entries.effective_servers(
+            copy,
+            &*self.context.dialect,
+            configuration,
+            &self.servers,
+        );
+        for incarnation in &effective.still_leaving {
             self.context.signals.note_leaving(incarnation, "the store before its restore");
         }
-        self.log_server_changes(&believed.servers);
-        self.servers = believed.servers;
+        self.log_server_changes(&effective.servers);
+        self.servers = effective.servers;
     }
 
     fn publish(&mut self) {
         let now = self.now();
         self.generation += 1;
         let copy = &self.copies[&StorePrefix::Configuration];
-        let published = FleetSnapshot {
+        let snapshot = FleetSnapshot {
             generation: self.generation,
             phase: self.phase,
             configuration: self.configuration.get().cloned(),
             configuration_proven: self.configuration_proven(),
             proof_limits: self.proof_limits,
             is_known_behind: copy.is_known_behind(),
-            ignored_entries: self.entries.ignored(),
-            servers: self.servers.values().map(|known| self.as_it_says(known)).collect(),
-            nodes: self.client_nodes(),
+            ignored_entries: self.entries.ignored_count(),
+            servers: self.servers.values().map(|entry| self.with_own_state(entry)).collect(),
+            nodes: self.client_endpoints(),
             configuration_confirmed: copy.confirmed,
             servers_confirmed: self.copies[&StorePrefix::Servers].confirmed,
-            reads_store: self.reads(StorePrefix::Servers),
+            reads_store: self.is_reader(StorePrefix::Servers),
             is_large_fleet: !self.peers.is_small_fleet(),
             leads: self.placement.is_some(),
             leader_heard: self.leader_heard,
-            shutdown: self.stop,
+            shutdown: self.shutdown,
             recent_nodes: self.peers.recent_peer_count(now) + 1,
             live_nodes: self.peers.members().len() + 1,
         };
-        self.context.board.fleet.store(Arc::new(published));
+        self.context.board.fleet.store(Arc::new(snapshot));
     }
 
-    /// A server's entry, as leaving where the server says so itself: the store may tell that
-    /// many seconds later.
-    fn as_it_says(&self, known: &ServerEntry) -> Arc<ServerRecord> {
-        let record = &known.record;
+    /// A server's record, as leaving if the server reports that itself, because the store may
+    /// deliver that change many seconds later.
+    fn with_own_state(&self, entry: &ServerEntry) -> Arc<ServerRecord> {
+        let record = &entry.record;
         if !self.context.signals.is_leaving(IncarnationHash::of(&record.incarnation)) {
             return record.clone();
         }
         Arc::new(ServerRecord { state: ServerState::Draining, ..ServerRecord::clone(record) })
     }
 
-    fn client_nodes(&self) -> Vec<NodeEndpoint> {
+    /// Addresses for clients of the nodes that are ready, in order of address.
+    fn client_endpoints(&self) -> Vec<NodeEndpoint> {
         let ready = self.peers.members().iter().filter(|member| member.is_ready());
-        let mut nodes: Vec<NodeEndpoint> = ready
+        let mut endpoints: Vec<NodeEndpoint> = ready
             .map(|member| NodeEndpoint {
                 address: member.entry.client_address,
                 zone: member.zone.clone(),
             })
             .collect();
         if self.phase == Phase::Ready {
-            nodes.push(NodeEndpoint {
+            endpoints.push(NodeEndpoint {
                 address: self.context.settings.client_address,
                 zone: self.context.settings.zone.clone(),
             });
         }
-        nodes.sort_by_key(|node| node.address);
-        nodes
+        endpoints.sort_by_key(|endpoint| endpoint.address);
+        endpoints
     }
 
-    /// How new this node's copies are, and when the store last said so.
+    /// The versions of this node's copies, and the ages of their last confirmation.
     fn versions(&self) -> CopyVersions {
         CopyVersions {
             configuration: self.configuration.version(),
-            configuration_age: self.copies[&StorePrefix::Configuration].told_age(),
+            configuration_age: self.copies[&StorePrefix::Configuration].reported_age(),
             servers: self.copies[&StorePrefix::Servers].mirror.position,
-            servers_age: self.copies[&StorePrefix::Servers].told_age(),
+            servers_age: self.copies[&StorePrefix::Servers].reported_age(),
         }
     }
 
-    /// Age of a copy from which on this node asks the store itself.
-    fn patience(&self) -> Duration {
+    /// Age of a copy from which on this node calls the store itself.
+    fn refresh_age(&self) -> Duration {
         self.staleness.refresh_age(self.peers.preceding_nodes(), self.peers.is_small_fleet())
     }
 
-    /// What this node knows of one of its copies, and of its part in the fleet.
-    fn copy_view(&self, subject: StorePrefix) -> CopyView {
-        let copy = &self.copies[&subject];
+    /// What this node knows of one of its copies and of its role in the fleet.
+    fn copy_view(&self, prefix: StorePrefix) -> CopyView {
+        let copy = &self.copies[&prefix];
         CopyView {
             exists: copy.mirror.exists(),
             is_superseded: copy.mirror.position.era < self.context.store.eras().newest(),
-            is_reader: self.reads(subject),
+            is_reader: self.is_reader(prefix),
             preceding_nodes: self.peers.preceding_nodes(),
             is_small_fleet: self.peers.is_small_fleet(),
             age: copy.age(),
-            peer_reported_age: copy.age_told_by_peers(),
-            time_until_proof_refresh: match subject {
+            peer_reported_age: copy.peer_reported_age(),
+            time_until_proof_refresh: match prefix {
                 StorePrefix::Configuration => self.time_until_proof_refresh(),
                 StorePrefix::Servers => None,
             },
@@ -299,9 +304,9 @@
 
     fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
-        let tells_loads = self.loads_are_due();
+        let reports_loads = self.load_report_is_due();
         let settings = &self.context.settings;
-        let reads_store = self.reads(StorePrefix::Servers) && !self.store_fails();
+        let reads_store = self.is_reader(StorePrefix::Servers) && !self.is_store_failing();
         Heartbeat {
             node: settings.node.clone(),
             incarnation: self.context.incarnation,
@@ -316,9 +321,9 @@
             },
             versions: self.versions(),
             reads_store,
-            store_fails: self.store_fails(),
-            loads: tells_loads.then(|| self.context.loads.all()),
-            demand: if tells_loads { self.recent_demand() } else { Vec::new() },
+            store_fails: self.is_store_failing(),
+            loads: reports_loads.then(|| self.context.loads.all()),
+            demand: if reports_loads { self.recent_demand() } else { Vec::new() },
             awaited_models: self.context.loads.waited_for(clock::now()),
             suspects: self.context.quarantine.next_reports(),
             signals: self.context.signals.next_reports(),
@@ -328,16 +333,16 @@
         }
     }
 
-    /// What this node sends to others now.
+    /// The messages that this node sends to others now.
     fn outgoing(&mut self) -> Vec<OutgoingMessage> {
         let now = self.now();
         let heartbeat = self.heartbeat();
         self.demand.receive(&heartbeat, now);
-        self.ask_for_plan(!heartbeat.awaited_models.is_empty());
+        self.request_planning(!heartbeat.awaited_models.is_empty());
         let mut outgoing = self.peers.outgoing(&heartbeat, now);
         outgoing.extend(self.proof_request());
         if let Some(loads) = heartbeat.loads {
-            self.told_loads = loads;
+            self.reported_loads = loads;
         }
         outgoing
     }
@@ -346,34 +351,34 @@
         self.context.loads.recent_demand(clock::now())
     }
 
-    /// Whether a heartbeat tells this node's load and demand now; notes that it
-    /// does. In a large fleet, one that is sent early leaves them out.
-    fn loads_are_due(&mut self) -> bool {
+    /// Whether the next heartbeat reports this node's load and demand, and records that it does.
+    /// In a large fleet, a heartbeat that is sent early omits them.
+    fn load_report_is_due(&mut self) -> bool {
         let now = self.now();
-        let due = self.loads_told.is_none_or(|told| now.since(told) >= LOADS_EACH);
-        if due {
-            self.loads_told = Some(now);
+        let is_due = self.loads_reported_at.is_none_or(|at| now.since(at) >= LOAD_REPORT_INTERVAL);
+        if is_due {
+            self.loads_reported_at = Some(now);
         }
-        due || self.peers.is_small_fleet()
+        is_due || self.peers.is_small_fleet()
     }
 
-    /// Asks this node's leader for a plan where requests wait for weights.
-    fn ask_for_plan(&self, waits: bool) {
-        if waits && self.placement.is_some() {
+    /// Requests a round of planning if requests wait for weights and this node leads.
+    fn request_planning(&self, has_waiting_requests: bool) {
+        if has_waiting_requests && self.placement.is_some() {
             self.context.plan_wanted.notify_one();
         }
     }
 
-    /// Publishes what the newest leading node tells, this one included.
+    /// Publishes the newest placement that a leader reports, this node included.
     fn publish_placement(&mut self) {
         let now = self.now();
-        let said = |at: Timestamp| clock::now().checked_sub(now.since(at));
-        let told = self.peers.placement(now);
+        let boot_instant = |at: Timestamp| clock::now().checked_sub(now.since(at));
+        let reported = self.peers.placement(now);
         let own = self.placement.as_ref().map(|placement| (placement, now));
-        if let Some((_, at)) = told.into_iter().chain(own).max_by_key(|(_, at)| *at) {
-            self.leader_heard = self.leader_heard.max(said(at));
+        if let Some((_, at)) = reported.into_iter().chain(own).max_by_key(|(_, at)| *at) {
+            self.leader_heard = self.leader_heard.max(boot_instant(at));
         }
-        let known = told.into_iter().chain(own).map(|(placement, _)| placement);
+        let known = reported.into_iter().chain(own).map(|(placement, _)| placement);
         let newest = known.max_by_key(|placement| placement.version());
         let view = newest.map_or_else(PlacementView::default, |placement| PlacementView {
             token: placement.token,
@@ -383,12 +388,12 @@
         self.context.board.placement.store(Arc::new(view));
     }
 
-    /// Sums the other nodes' load, unless that was done a moment ago.
-    fn sum_load(&mut self) {
+    /// Sums the other nodes' load and publishes it, at most once per interval.
+    fn update_remote_load(&mut self) {
         let now = self.now();
-        if now.since(self.load_summed) >= LOAD_PAUSE {
-            self.load_summed = now;
-            let load = self.peers.remote_load(&self.told_loads, now);
+        if now.since(self.remote_load_updated) >= REMOTE_LOAD_INTERVAL {
+            self.remote_load_updated = now;
+            let load = self.peers.remote_load(&self.reported_loads, now);
             self.context.board.remote_load.store(Arc::new(load));
         }
     }
@@ -399,19 +404,19 @@
         let now = self.now();
         self.peers.tick(now);
         if self.entries.awaits_rewrites() {
-            self.take_in_servers();
+            self.apply_servers();
         }
         self.log_member_changes();
-        self.log_reading_changes();
-        self.sum_load();
+        self.log_reader_changes();
+        self.update_remote_load();
         self.publish_placement();
         self.publish();
         self.log_traffic(now);
     }
 
-    /// Tells now and then what this node has sent.
+    /// Logs the control traffic of this node at an interval.
     fn log_traffic(&mut self, now: Timestamp) {
-        if now.since(self.traffic_logged) >= TRAFFIC_LINE_EACH {
+        if now.since(self.traffic_logged) >= TRAFFIC_LOG_INTERVAL {
             self.traffic_logged = now;
             self.context.traffic.log();
         }
@@ -422,6 +427,6 @@
     type Context = Context<FleetState>;
 
     fn started(&mut self, context: &mut Context<FleetState>) {
-        context.run_interval(TICK, |fleet, _| fleet.tick());
+        context.run_interval(TICK_INTERVAL, |fleet, _| fleet.tick());
     }
 }
