--- a/crates/cometmoor-gateway/src/control/mod.rs
+++ b/crates/cometmoor-gateway/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! Control thread: the state of the fleet, and the tasks that keep it new.
+//! Control thread: the state of the fleet, and the tasks that keep it up to date.
 
 pub mod campaign;
 pub mod demand;
@@ -27,31 +27,31 @@
 use crate::signals::SignalBoard;
 use crate::store::Store;
 
-/// What the control thread's parts share.
+/// State that the tasks of the control thread share.
 pub struct ControlContext {
-    /// Settings.
+    /// Settings of the node.
     pub settings: GatewaySettings,
-    /// The platform's formats.
+    /// Message formats of the platform.
     pub dialect: Arc<dyn Dialect>,
-    /// What is published to the traffic threads.
+    /// State that is published to the traffic threads.
     pub board: Arc<Board>,
-    /// What the traffic threads do.
+    /// Load and demand, as counted by the traffic threads.
     pub loads: LoadBoard,
-    /// Requests that crash servers.
+    /// Quarantine of requests that crash servers.
     pub quarantine: QuarantineBoard,
-    /// What servers report of themselves in their answers.
+    /// Signals that servers send about themselves in their responses.
     pub signals: SignalBoard,
-    /// Messages to other nodes and the store.
+    /// Counters of messages to other nodes and to the store.
     pub traffic: ControlTraffic,
-    /// The store.
+    /// Client of the store.
     pub store: Store,
-    /// Tells two processes of one node apart.
+    /// Distinguishes processes of the same node.
     pub incarnation: u64,
-    /// Asks for a round of planning before it is due.
+    /// Requests a round of planning before it is due.
     pub plan_wanted: Notify,
 }
 
-/// Starts the control thread's parts on the current `actix` system.
+/// Starts the tasks of the control thread on the current `actix` system.
 pub async fn start(context: Rc<ControlContext>) -> std::io::Result<Addr<FleetState>> {
     let fleet = FleetState::new(context.clone()).start();
     heartbeat::start(&context, &fleet).await?;
--- a/crates/cometmoor-gateway/src/control/quarantine.rs
+++ b/crates/cometmoor-gateway/src/control/quarantine.rs
@@ -1,11 +1,11 @@
-//! Keeps in the store which contents are quarantined, so that a fleet whose nodes all
-//! start again does not lose servers to learn it once more.
+//! Keeps in the store which content is quarantined, so that a fleet whose nodes are all
+//! restarted does not lose servers again until the content is quarantined once more.
 //!
-//! The node that saw the last crash writes, or the leading node, one key with a lease for
-//! each content. A process that starts reads them once, and a node that has lost sight of
-//! most others reads them after each crash that it sees: else each of several that are cut
-//! off would lose three servers. Between other nodes heartbeats are faster, and go on while
-//! the store is away.
+//! The node that observed the last crash, or the leader, writes one key with a lease for each
+//! quarantined content. A starting process reads the keys once, and a node that no longer
+//! hears from most of the others reads them after each crash that it observes. Otherwise, each
+//! of several partitioned nodes would lose three servers. Among other nodes, heartbeats are
+//! faster and also work while the store is unavailable.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -21,20 +21,23 @@
 use crate::dialect::{Commit, Committed};
 use crate::store::{StoreError, StoreLease};
 
-/// Prefix of the keys; the content's fingerprint follows, in hex.
-const PREFIX: &str = "cometmoor/quarantine/";
-/// Pause between two looks. A fleet that is killed within it has lost three servers and
-/// loses three more.
-const LOOK: Duration = Duration::from_millis(500);
+/// Prefix of the keys; the content's fingerprint follows, in hexadecimal.
+const KEY_PREFIX: &str = "cometmoor/quarantine/";
+/// Interval between two synchronizations. If all nodes of a fleet are killed within it, the
+/// fleet has lost three servers and loses three more.
+const SYNC_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Starts the task.
+/// Starts the task that synchronizes the quarantine with the store.
 pub fn start(context: &Rc<ControlContext>) {
-    let keeper =
-        Keeper { context: context.clone(), leases: HashMap::new(), era: StoreEra::default() };
-    actix_rt::spawn(keeper.run());
+    let task = QuarantineSync {
+        context: context.clone(),
+        leases: HashMap::new(),
+        era: StoreEra::default(),
+    };
+    actix_rt::spawn(task.run());
 }
 
-struct Keeper {
+struct QuarantineSync {
     context: Rc<ControlContext>,
     /// Leases of the keys that this process has written.
     leases: HashMap<Fingerprint, StoreLease>,
@@ -42,29 +45,30 @@
     era: StoreEra,
 }
 
-impl Keeper {
+impl QuarantineSync {
     async fn run(mut self) {
-        // A fleet that starts for the first time has written nothing.
+        // A fleet that starts for the first time has not written any keys.
         let mut last_read = self.context.settings.fresh_fleet.then(clock::timestamp);
-        let mut was_answered = true;
+        let mut has_succeeded = true;
         loop {
-            self.note_era();
+            self.check_era();
             let now = clock::timestamp();
-            let step = match last_read.is_none_or(|read| self.lacks_verdicts(read)) {
+            let result = match last_read.is_none_or(|read| self.may_lack_verdicts(read)) {
                 true => self.read().await.map(|()| last_read = Some(now)),
                 false => self.write().await,
             };
-            if let (Err(error), true) = (&step, was_answered) {
+            if let (Err(error), true) = (&result, has_succeeded) {
                 let reason = error.to_string();
-                info!("[quarantine] the store does not answer; tried again", kv: { step = "store", reason });
+                info!("[quarantine] store call failed; retrying", kv: { step = "store", reason });
             }
-            was_answered = step.is_ok();
-            clock::sleep(LOOK).await;
+            has_succeeded = result.is_ok();
+            clock::sleep(SYNC_INTERVAL).await;
         }
     }
 
-    /// Writes again what a restored store may have lost.
-    fn note_era(&mut self) {
+    /// In a new era of the store, schedules everything to be written again, because a restored
+    /// store may have lost it.
+    fn check_era(&mut self) {
         let newest = self.context.store.eras().newest();
         if self.era < newest {
             self.era = newest;
@@ -73,20 +77,20 @@
         }
     }
 
-    /// Whether this node has seen a crash since it last read, and hears less than half of
-    /// the nodes that were there lately.
-    fn lacks_verdicts(&self, last_read: Timestamp) -> bool {
+    /// Whether this node has observed a crash since it last read the keys, and hears from less
+    /// than half of the recent nodes, so that it may not know of crashes at others.
+    fn may_lack_verdicts(&self, last_read: Timestamp) -> bool {
         let fleet = self.context.board.fleet.load();
-        let is_cut_off = fleet.recent_nodes <= 1 || 2 * fleet.live_nodes < fleet.recent_nodes;
-        is_cut_off && self.context.quarantine.last_blamed() > Some(last_read)
+        let is_partitioned = fleet.recent_nodes <= 1 || 2 * fleet.live_nodes < fleet.recent_nodes;
+        is_partitioned && self.context.quarantine.last_blamed() > Some(last_read)
     }
 
     async fn read(&self) -> Result<(), StoreError> {
-        let stored = self.context.store.read(PREFIX).await?;
+        let stored = self.context.store.read(KEY_PREFIX).await?;
         for key in stored.items.keys() {
             match parse_key(key) {
                 Some(content) => self.context.quarantine.restore(content),
-                None => warn!("[quarantine] a key names no content", kv: { peer = &**key }),
+                None => warn!("[quarantine] invalid key in the store", kv: { peer = &**key }),
             }
         }
         Ok(())
@@ -96,7 +100,7 @@
         let leads = self.context.board.fleet.load().leads;
         for content in self.context.quarantine.unstored(leads) {
             let lease = self.context.store.grant_lease(QUARANTINE_LIFETIME).await?;
-            let puts = vec![(format!("{PREFIX}{content}"), b"quarantined".to_vec(), lease.id)];
+            let puts = vec![(format!("{KEY_PREFIX}{content}"), b"quarantined".to_vec(), lease.id)];
             let commit = Commit { conditions: Vec::new(), puts };
             if let Committed::Done(_) = self.context.store.commit(&commit).await?.content {
                 self.context.quarantine.note_stored(content);
@@ -121,6 +125,6 @@
 }
 
 fn parse_key(key: &str) -> Option<Fingerprint> {
-    let hex = key.strip_prefix(PREFIX)?;
+    let hex = key.strip_prefix(KEY_PREFIX)?;
     u64::from_str_radix(hex, 16).ok().map(Fingerprint)
 }
--- a/crates/cometmoor-gateway/src/control/registration.rs
+++ b/crates/cometmoor-gateway/src/control/registration.rs
@@ -1,5 +1,5 @@
-//! Registers the node in the store, so that nodes whose seeds are all gone
-//! find one another.
+//! Registers the node in the store, so that nodes find one another even if none of their seeds
+//! is running.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -15,60 +15,62 @@
 
 /// Prefix of the nodes' keys.
 const NODES_PREFIX: &str = "cometmoor/nodes/";
-/// Life of a registration.
-const LIFETIME: Duration = Duration::from_secs(45);
-/// Pause between renewals.
-const INTERVAL: Duration = Duration::from_secs(12);
-/// Pause of a node that need not register before it looks again.
-const LOOK: Duration = Duration::from_secs(2);
-/// Nodes up to which others may not have been found by heartbeats.
+/// Time to live of a registration's lease.
+const LEASE_TTL: Duration = Duration::from_secs(45);
+/// Interval between renewals.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(12);
+/// Time after which a node that need not register checks again.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
+/// Number of known nodes up to which there may be others that heartbeats have not found.
 const FEW_NODES: usize = 2;
-/// Time for a node that starts to find others by its seeds.
-const SEEDS_FIRST: Duration = Duration::from_millis(1500);
-/// Pause after a failure.
-const FAILURE_PAUSE: Duration = Duration::from_secs(1);
+/// Time that a starting node has to find others by its seeds.
+const SEED_DISCOVERY_TIME: Duration = Duration::from_millis(1500);
+/// Delay after a failure.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Starts the task.
+/// Starts the task that registers the node.
 pub fn start(context: &Rc<ControlContext>, fleet: &Addr<FleetState>) {
     actix_rt::spawn(run(context.clone(), fleet.clone()));
 }
 
 async fn run(context: Rc<ControlContext>, fleet: Addr<FleetState>) {
     let mut lease = None;
-    clock::sleep(SEEDS_FIRST).await;
+    clock::sleep(SEED_DISCOVERY_TIME).await;
     loop {
         if !is_needed(&context) {
-            clock::sleep(LOOK).await;
+            clock::sleep(CHECK_INTERVAL).await;
             continue;
         }
-        let pause = match step(&context, &fleet, &mut lease).await {
-            Ok(()) => INTERVAL,
-            Err(_) => FAILURE_PAUSE,
+        let delay = match register(&context, &fleet, &mut lease).await {
+            Ok(()) => RENEWAL_INTERVAL,
+            Err(_) => RETRY_DELAY,
         };
         // A restored store may have lost the registration.
-        let _ = clock::timeout(pause, context.store.eras().wait_for_new_era()).await;
+        let _ = clock::timeout(delay, context.store.eras().wait_for_new_era()).await;
     }
 }
 
-/// Whether the node has to be found in the store: those that read it are
-/// enough for a node that knows nobody, which itself looks there.
+/// Whether the node has to register. It suffices that the readers of the store do: a node that
+/// knows no other one finds them in the store.
 fn is_needed(context: &ControlContext) -> bool {
     let fleet = context.board.fleet.load();
     fleet.reads_store || fleet.recent_nodes <= FEW_NODES
 }
 
-async fn step(
+/// Renews or writes the registration. A node that knows few others also looks for registered
+/// nodes in the store.
+async fn register(
     context: &ControlContext,
     fleet: &Addr<FleetState>,
     lease: &mut Option<StoreLease>,
 ) -> Result<(), StoreError> {
-    let goes_on = match lease {
+    let is_valid = match lease {
         Some(lease) => context.store.renew_lease(*lease).await?,
         None => false,
     };
-    if !goes_on {
+    if !is_valid {
         *lease = None;
-        let granted = context.store.grant_lease(LIFETIME).await?;
+        let granted = context.store.grant_lease(LEASE_TTL).await?;
         let address = context.settings.peer_address.to_string();
         let key = format!("{NODES_PREFIX}{}-{}", context.settings.node, context.incarnation);
         let puts = vec![(key, address.into_bytes(), granted.id)];
--- a/crates/cometmoor-gateway/src/control/watcher.rs
+++ b/crates/cometmoor-gateway/src/control/watcher.rs
@@ -1,4 +1,4 @@
-//! Keeps the copies of the store's prefixes new.
+//! Keeps the copies of the store's prefixes up to date.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -21,48 +21,48 @@
 use crate::peer::StorePrefix;
 use crate::store::{PagedRead, StoreError};
 
-/// Pause after changes of the servers, so that those that come close together
-/// are told by one answer. It is a small part of the time within which a
-/// leaving server must get no new work.
-const GATHER: Duration = Duration::from_millis(350);
-/// Pause where the state of the fleet is gone, which ends with the process.
-const LONGEST_REST: Duration = Duration::from_millis(1500);
-/// Time for the first try of a full read, far above what an answer takes: a
-/// call on a connection that has lost an answer never gets one.
-const FIRST_READ: Duration = Duration::from_millis(400);
-/// Time between two looks whether a peer's copy has come.
-const LOOK_FOR_PEERS: Duration = Duration::from_millis(100);
-/// Such looks before a node reads the store itself.
-const LOOKS_FOR_PEERS: u32 = 25;
-/// Longest time for which a node of a fleet that starts anew waits for a peer's copy
-/// before it reads the store.
-const LONGEST_START_WAIT: Duration = Duration::from_millis(2500);
-/// Longest time for a try of a full read, where the store is slow.
-const LONGEST_READ: Duration = Duration::from_millis(1600);
-/// Shortest pause before an open watch is looked at again.
-const SHORTEST_LOOK: Duration = Duration::from_millis(20);
-/// A watch that the store answers at once.
+/// Delay after changes of the servers, so that one answer delivers changes that occur shortly
+/// after one another. It is a small part of the time within which a leaving server must get no
+/// new work.
+const BATCH_DELAY: Duration = Duration::from_millis(350);
+/// Delay if the fleet state's actor has stopped, which happens only when the process ends.
+const FALLBACK_DELAY: Duration = Duration::from_millis(1500);
+/// Timeout of the first attempt at a full read, far above the usual time of an answer: a call
+/// on a connection that has lost an answer never gets one.
+const INITIAL_READ_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time between two checks whether a peer's copy has arrived.
+const PEER_COPY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of such checks before a node reads the store itself.
+const MAX_PEER_COPY_CHECKS: u32 = 25;
+/// Maximum time for which a node of a newly started fleet waits for a peer's copy before it
+/// reads the store.
+const MAX_START_WAIT: Duration = Duration::from_millis(2500);
+/// Maximum timeout of an attempt at a full read, for a slow store.
+const MAX_READ_TIMEOUT: Duration = Duration::from_millis(1600);
+/// Minimum time between two checks of an open watch.
+const MIN_WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Wait of a watch that the store answers immediately.
 const NO_WAIT: Duration = Duration::ZERO;
 
 /// What a watcher does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// Read everything, as a node that has no copy yet.
+    /// Read everything, because this node has no copy yet.
     FirstRead,
-    /// Read everything, because the store has forgotten what has changed since.
+    /// Read everything, because the copy cannot be brought up to date by changes.
     ReadAgain,
-    /// Wait for changes, or leave that to others, as the fleet's state tells.
+    /// Wait for changes, or leave that to other nodes, as the state of the fleet requires.
     Follow,
-    /// The same, but ask without waiting before the store is waited for: it has
-    /// left something without an answer.
-    FollowDoubting,
+    /// The same, but poll once before the next watch, because the store has left a call without
+    /// an answer.
+    FollowAfterPoll,
 }
 
 impl Step {
-    /// What comes after a call that was not answered.
+    /// The step after a call that was not answered.
     fn after_failure(self) -> Step {
         match self {
-            Step::Follow => Step::FollowDoubting,
+            Step::Follow => Step::FollowAfterPoll,
             step => step,
         }
     }
@@ -93,8 +93,8 @@
 
     async fn run(self) {
         let mut failures = 0;
-        let mut reads_in_vain = 0;
-        let mut next = match self.peers_bring_start().await {
+        let mut futile_reads = 0;
+        let mut next = match self.wait_for_peer_copy_at_start().await {
             true => Step::Follow,
             false => Step::FirstRead,
         };
@@ -102,10 +102,10 @@
             match self.step(next, failures).await {
                 Ok(following) => {
                     if following == Step::ReadAgain {
-                        self.rest_after_reads(reads_in_vain).await;
-                        reads_in_vain += 1;
+                        self.delay_next_read(futile_reads).await;
+                        futile_reads += 1;
                     } else if next != Step::ReadAgain {
-                        reads_in_vain = 0;
+                        futile_reads = 0;
                     }
                     next = following;
                     failures = 0;
@@ -113,8 +113,8 @@
                 Err(error) => {
                     let reason = error.to_string();
                     self.fleet.do_send(StoreCallFailed { prefix: self.prefix, reason });
-                    let pause = self.fleet.send(GetRetryDelay(self.prefix, failures)).await;
-                    clock::sleep(pause.unwrap_or(LONGEST_REST)).await;
+                    let delay = self.fleet.send(GetRetryDelay(self.prefix, failures)).await;
+                    clock::sleep(delay.unwrap_or(FALLBACK_DELAY)).await;
                     next = next.after_failure();
                     failures += 1;
                 }
@@ -122,34 +122,37 @@
         }
     }
 
-    /// Rests before everything is read again, where so many reads before have not led to a
-    /// point from which the store tells changes.
-    async fn rest_after_reads(&self, reads: u32) {
+    /// Waits before everything is read again, if `reads` full reads in a row have not led to a
+    /// position from which the store can return changes.
+    async fn delay_next_read(&self, reads: u32) {
         if let Some(failures) = reads.checked_sub(1) {
-            let pause = self.fleet.send(GetRetryDelay(self.prefix, failures)).await;
-            clock::sleep(pause.unwrap_or(LONGEST_REST)).await;
+            let delay = self.fleet.send(GetRetryDelay(self.prefix, failures)).await;
+            clock::sleep(delay.unwrap_or(FALLBACK_DELAY)).await;
         }
     }
 
-    /// Where a whole fleet starts at once, a few nodes read the store and the others take
-    /// their copies: at 295 nodes, reads and watches by all of them were a third of the
-    /// store's calls of a calm day. Waits are drawn so that one node in sixteen waits for
-    /// less than a second: by then others have been heard. Tells whether a copy has come.
-    async fn peers_bring_start(&self) -> bool {
+    /// Waits for a peer's copy in a newly started fleet. Returns whether one has arrived.
+    ///
+    /// If a whole fleet starts at once, a few nodes read the store and the others fetch their
+    /// copies from them: at 295 nodes, reads and watches by all of them were a third of the
+    /// store's calls on a day without faults. The random wait is distributed so that one node in
+    /// sixteen waits for less than a second, by which time it has heard from other nodes.
+    async fn wait_for_peer_copy_at_start(&self) -> bool {
         let settings = &self.context.settings;
-        let has_others = settings.seeds.iter().any(|seed| *seed != settings.peer_address);
-        if !settings.fresh_fleet || !has_others {
+        let has_peers = settings.seeds.iter().any(|seed| *seed != settings.peer_address);
+        if !settings.fresh_fleet || !has_peers {
             return false;
         }
-        let wait = LONGEST_START_WAIT.mul_f64(rand::random::<f64>().cbrt());
+        let wait = MAX_START_WAIT.mul_f64(rand::random::<f64>().cbrt());
         let end = clock::now() + wait;
         while clock::now() < end {
-            // Who is to read is not known yet: few others have been heard.
+            // The other plans do not count yet: the node has heard from too few others to know
+            // the readers.
             let plan = self.fleet.send(GetReadPlan(self.prefix)).await;
             if matches!(plan, Ok(ReadPlan::HasCopy)) {
                 return true;
             }
-            clock::sleep(LOOK_FOR_PEERS.min(end.since(clock::now()))).await;
+            clock::sleep(PEER_COPY_CHECK_INTERVAL.min(end.since(clock::now()))).await;
         }
         false
     }
@@ -158,26 +161,26 @@
         self.context.settings.staleness()
     }
 
-    /// Reads everything, or follows the changes; tells what comes next.
+    /// Reads everything or follows the changes. Returns the next step.
     async fn step(&self, step: Step, failures: u32) -> Result<Step, StoreError> {
         match step {
             Step::FirstRead | Step::ReadAgain => {
-                let time = exponential_backoff(FIRST_READ, failures, LONGEST_READ);
-                self.read(step == Step::FirstRead, time).await?;
+                let timeout = exponential_backoff(INITIAL_READ_TIMEOUT, failures, MAX_READ_TIMEOUT);
+                self.read(step == Step::FirstRead, timeout).await?;
                 Ok(Step::Follow)
             }
-            Step::Follow | Step::FollowDoubting => self.follow(step, failures).await,
+            Step::Follow | Step::FollowAfterPoll => self.follow(step, failures).await,
         }
     }
 
     async fn follow(&self, step: Step, failures: u32) -> Result<Step, StoreError> {
-        // The actor ends only with the process.
+        // The actor stops only when the process ends.
         let answer = self.fleet.send(GetNextCall(self.prefix)).await;
-        let idle = (NextCall::Wait(LONGEST_REST), StorePosition::default());
+        let idle = (NextCall::Wait(FALLBACK_DELAY), StorePosition::default());
         let (next, after) = answer.unwrap_or(idle);
         match next {
-            NextCall::Wait(rest) => {
-                clock::sleep(rest).await;
+            NextCall::Wait(delay) => {
+                clock::sleep(delay).await;
                 Ok(step)
             }
             NextCall::Read => Ok(Step::ReadAgain),
@@ -186,46 +189,50 @@
         }
     }
 
-    /// Waits for changes. A watch that says nothing is given up when the copy has
-    /// become too old: its connection may have gone silent. Waiting for the
-    /// watch's own time to pass instead left nodes without news for 10.8 s (played
-    /// days on which the store turns nodes away in silence).
+    /// Waits for changes. A watch that stays silent is abandoned when the copy has become too
+    /// old, because its connection may be dead. When the watch's own timeout was awaited
+    /// instead, nodes learned of no changes for 10.8 s (simulated days on which the store
+    /// dropped the calls of nodes without an answer).
     async fn watch(&self, after: StorePosition, wait: Duration) -> Result<Step, StoreError> {
         let (store, requested_at) = (&self.context.store, clock::now());
         let watch = store.watch(self.key_prefix(), after, wait, self.limits().watch_grace());
-        match select(pin!(watch), pin!(self.copy_becomes_too_old())).await {
-            Either::Left((watched, _)) => self.take(watched?, after, requested_at).await,
+        match select(pin!(watch), pin!(self.wait_until_refresh())).await {
+            Either::Left((watched, _)) => self.handle_watched(watched?, after, requested_at).await,
             Either::Right(((), _)) => {
                 store.distrust_connections();
-                Ok(Step::FollowDoubting)
+                Ok(Step::FollowAfterPoll)
             }
         }
     }
 
-    /// Waits until the copy is older than it may become, or an era of the store begins.
-    async fn copy_becomes_too_old(&self) {
+    /// Waits until the copy is so old that this node has to call the store, or a new era of the
+    /// store begins.
+    async fn wait_until_refresh(&self) {
         let eras = self.context.store.eras();
         loop {
             let left = self.fleet.send(GetTimeUntilRefresh(self.prefix)).await;
-            let left = left.unwrap_or(LONGEST_REST);
+            let left = left.unwrap_or(FALLBACK_DELAY);
             if left.is_zero() {
                 return;
             }
-            if clock::timeout(left.max(SHORTEST_LOOK), eras.wait_for_new_era()).await.is_ok() {
+            if clock::timeout(left.max(MIN_WATCH_CHECK_INTERVAL), eras.wait_for_new_era())
+                .await
+                .is_ok()
+            {
                 return;
             }
         }
     }
 
-    /// Asks for changes without waiting.
+    /// Requests changes without waiting for new ones.
     async fn poll(&self, after: StorePosition, failures: u32) -> Result<Step, StoreError> {
-        let (time, requested_at) = (self.limits().poll_timeout(failures), clock::now());
-        let watched = self.context.store.watch(self.key_prefix(), after, NO_WAIT, time).await?;
-        self.take(watched, after, requested_at).await
+        let (timeout, requested_at) = (self.limits().poll_timeout(failures), clock::now());
+        let watched = self.context.store.watch(self.key_prefix(), after, NO_WAIT, timeout).await?;
+        self.handle_watched(watched, after, requested_at).await
     }
 
-    /// Takes the answer to a call that began at `asked`.
-    async fn take(
+    /// Handles the answer to a watch that began at `requested_at`. Returns the next step.
+    async fn handle_watched(
         &self,
         watched: Watched,
         after: StorePosition,
@@ -233,7 +240,7 @@
     ) -> Result<Step, StoreError> {
         match watched {
             Watched::Events(events) => {
-                let gathers = self.prefix == StorePrefix::Servers && !events.is_empty();
+                let is_batched = self.prefix == StorePrefix::Servers && !events.is_empty();
                 let era = after.era;
                 self.fleet.do_send(ChangesReceived {
                     prefix: self.prefix,
@@ -241,32 +248,32 @@
                     era,
                     requested_at,
                 });
-                if gathers {
-                    clock::sleep(GATHER).await;
+                if is_batched {
+                    clock::sleep(BATCH_DELAY).await;
                 }
                 Ok(Step::Follow)
             }
             Watched::Forgotten => {
                 let (what, after) = (self.prefix.name(), after.to_string());
-                info!("[store] it cannot tell what has changed; all is read again", kv: { what, after });
+                info!("[store] changes are no longer available; reading everything again", kv: { what, after });
                 Ok(Step::ReadAgain)
             }
         }
     }
 
-    /// Reads everything. Where that is more than a page, nodes that have no copy yet
-    /// leave the rest to peers for a while: at the largest size a copy is megabytes,
-    /// and all nodes may start at once.
-    async fn read(&self, is_first: bool, read_time: Duration) -> Result<(), StoreError> {
+    /// Reads everything. If that is more than one page, a node that has no copy yet first waits
+    /// for a peer's copy: at the largest fleet size a copy has megabytes, and all nodes may
+    /// start at once.
+    async fn read(&self, is_first: bool, page_timeout: Duration) -> Result<(), StoreError> {
         let known_position = self.fleet.send(GetPosition(self.prefix)).await.unwrap_or_default();
         let (mut read, requested_at) = (PagedRead::default(), clock::now());
         let store = &self.context.store;
-        let mut more = store.read_page(self.key_prefix(), &mut read, read_time).await?;
-        if more && is_first && self.peers_bring_it().await {
+        let mut more = store.read_page(self.key_prefix(), &mut read, page_timeout).await?;
+        if more && is_first && self.wait_for_peer_copy().await {
             return Ok(());
         }
         while more {
-            more = store.read_page(self.key_prefix(), &mut read, read_time).await?;
+            more = store.read_page(self.key_prefix(), &mut read, page_timeout).await?;
         }
         let mirror = read.finish();
         self.fleet.do_send(ReadCompleted {
@@ -278,11 +285,11 @@
         Ok(())
     }
 
-    /// Waits until a peer's copy has come; tells whether one has.
-    async fn peers_bring_it(&self) -> bool {
-        for _ in 0..LOOKS_FOR_PEERS {
+    /// Waits for a peer's copy, unless this node is a reader. Returns whether one has arrived.
+    async fn wait_for_peer_copy(&self) -> bool {
+        for _ in 0..MAX_PEER_COPY_CHECKS {
             match self.fleet.send(GetReadPlan(self.prefix)).await {
-                Ok(ReadPlan::WaitForPeers) => clock::sleep(LOOK_FOR_PEERS).await,
+                Ok(ReadPlan::WaitForPeers) => clock::sleep(PEER_COPY_CHECK_INTERVAL).await,
                 Ok(ReadPlan::HasCopy) => return true,
                 Ok(ReadPlan::Read) | Err(_) => return false,
             }
--- a/crates/cometmoor-gateway/src/mirror.rs
+++ b/crates/cometmoor-gateway/src/mirror.rs
@@ -1,7 +1,7 @@
-//! A copy of the store's items under a prefix, which only moves forward.
+//! A copy of the store's items under a prefix, which never goes back to an earlier position.
 //!
-//! An item whose writer numbers its versions is never replaced by an older version, also
-//! where the store itself has come back with one.
+//! An item whose writer numbers its versions is never replaced by an older version, even if the
+//! store was restored from a backup with an older version.
 
 use std::collections::BTreeMap;
 
@@ -10,18 +10,19 @@
 
 use crate::dialect::{Item, WatchEvent};
 
-/// An item's revision and value.
+/// An item of the copy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MirroredItem {
     /// Revision of its last change.
     pub revision: u64,
     /// Revision at which it was created.
     pub create_revision: u64,
-    /// Version that its writer gives it; none where it gives none.
+    /// Version number that its writer assigns; `None` if the writer assigns none, or if the item
+    /// is invalid.
     pub version: Option<u64>,
-    /// Value.
+    /// Value as stored.
     pub value: Vec<u8>,
-    /// Whether the store has lost this version: its own item is older, or gone.
+    /// Whether the store has lost this version: the store's own item is older, or removed.
     pub is_lost: bool,
 }
 
@@ -33,58 +34,57 @@
 }
 
 impl MirroredItem {
-    /// Whether it is a newer version than another item. One that cannot be read may be the
-    /// newest.
-    fn outlives(&self, other: &MirroredItem) -> bool {
+    /// Whether it is a newer version than another item. An item without a version counts as the
+    /// newest, because an invalid one may be.
+    fn is_newer_than(&self, other: &MirroredItem) -> bool {
         other.version.is_some() && self.version > other.version
     }
 
-    /// The item, where the store has lost it and is of a revision.
+    /// The item marked as lost by the store, with `revision` in place of its own.
     fn lost_at(self, revision: u64) -> MirroredItem {
         MirroredItem { revision, is_lost: true, ..self }
     }
 }
 
-/// A copy of the items under a prefix, as of a point in the store's history. Revisions in it
-/// are of that point's era.
+/// A copy of the items under a prefix at a position in the store's history. Its revisions are
+/// counted in the era of that position.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mirror {
-    /// The point that the copy is of; its revision is 0 where nothing was read.
+    /// The position of the copy; its revision is 0 if nothing has been read.
     pub position: StorePosition,
     /// Items by key.
     pub items: BTreeMap<String, MirroredItem>,
-    /// Keys that are gone, with the revision of their end, as far back as is
-    /// remembered.
+    /// Removed keys with the revision of their removal, as far back as they are kept.
     removed: BTreeMap<String, u64>,
-    /// Changes up to this revision are not remembered one by one.
-    forgotten: u64,
+    /// Revision up to which individual changes are no longer known.
+    compacted: u64,
 }
 
-/// Keys that are gone and still remembered: more than end within a minute at the
-/// largest size. A peer that lags further back is told everything.
-const MAX_GONE: usize = 2048;
+/// Maximum number of removed keys that are kept: more than are removed within a minute at the
+/// largest fleet size. A peer that lags further behind gets a full copy.
+const MAX_REMOVED: usize = 2048;
 
-/// What changed in a copy since an earlier point, for a peer.
+/// The changes of a copy since an earlier position, for a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MirrorUpdate {
-    /// The changes.
+    /// Individual changes.
     Changes {
         /// Items that were written.
         written: Vec<(String, MirroredItem)>,
-        /// Keys that are gone, with the revision of their end.
+        /// Removed keys with the revision of their removal.
         removed: Vec<(String, u64)>,
-        /// Point that the changes lead to; they start from an earlier one of its era.
+        /// Position after the changes. They start from an earlier one of the same era.
         position: StorePosition,
     },
-    /// Everything, because changes so far back are not remembered.
+    /// The full copy, because the peer's position is of another era or too far back.
     Full(Mirror),
 }
 
 impl Mirror {
-    /// A copy from a full read, which holds at least what was there at `position`.
+    /// Creates a copy from a full read, which contains at least the changes up to `position`.
     pub fn from_items(items: Vec<Item>, position: StorePosition) -> Mirror {
         let items = items.into_iter().map(|item| (item.key.clone(), item.into())).collect();
-        Mirror { position, items, removed: BTreeMap::new(), forgotten: position.revision }
+        Mirror { position, items, removed: BTreeMap::new(), compacted: position.revision }
     }
 
     /// Whether anything was read.
@@ -92,14 +92,14 @@
         self.position.revision > 0
     }
 
-    /// Keys that are gone, as far back as is remembered.
+    /// Removed keys, as far back as they are kept.
     pub fn removed_keys(&self) -> impl Iterator<Item = &str> {
         self.removed.keys().map(String::as_str)
     }
 
-    /// What a copy as of `after` lacks.
+    /// The changes that a copy at position `after` lacks.
     pub fn changes_since(&self, after: StorePosition) -> MirrorUpdate {
-        if after.era != self.position.era || after.revision < self.forgotten {
+        if after.era != self.position.era || after.revision < self.compacted {
             return MirrorUpdate::Full(self.clone());
         }
         let written = self.items.iter().filter(|(_, item)| item.revision > after.revision);
@@ -111,8 +111,7 @@
         }
     }
 
-    /// Takes what a peer's copy had beyond this one; tells whether an item
-    /// changed.
+    /// Applies an update from a peer's copy. Returns whether an item changed.
     pub fn apply_update(&mut self, update: MirrorUpdate) -> bool {
         match update {
             MirrorUpdate::Full(mirror) => self.merge(mirror),
@@ -135,37 +134,38 @@
         }
     }
 
-    /// Takes another copy if it is newer, and of an older one the versions that are newer;
-    /// tells whether anything was taken.
+    /// Merges another copy: the copy at the later position is kept, with the newer versions of
+    /// items from the other one. Returns whether anything changed.
     pub fn merge(&mut self, other: Mirror) -> bool {
         if other.position <= self.position {
-            return self.take_newer_versions(other.items);
+            return self.keep_newer_versions(other.items);
         }
         let before = std::mem::replace(self, other);
-        self.take_newer_versions(before.items);
+        self.keep_newer_versions(before.items);
         true
     }
 
-    /// Takes the items of another copy that are newer versions than this copy has; tells
-    /// whether there were any.
-    fn take_newer_versions(&mut self, items: BTreeMap<String, MirroredItem>) -> bool {
-        let mut taken = false;
+    /// Adds the items of another copy that have newer versions than in this one. Returns whether
+    /// there were any.
+    fn keep_newer_versions(&mut self, items: BTreeMap<String, MirroredItem>) -> bool {
+        let mut changed = false;
         for (key, item) in items.into_iter().filter(|(_, item)| item.version.is_some()) {
             let revision = match self.items.get(&key) {
-                Some(own) if item.outlives(own) => own.revision,
+                Some(own) if item.is_newer_than(own) => own.revision,
                 Some(_) => continue,
                 None => self.position.revision,
             };
             self.items.insert(key, item.lost_at(revision));
-            taken = true;
+            changed = true;
         }
-        taken
+        changed
     }
 
-    /// Takes changes of the copy's era; tells whether an item changed. Changes that
-    /// another copy has already brought are passed over. The copy is then of the last
-    /// change's revision, not of the one that the store names beside them: a store that
-    /// hands changes out late may name one beyond a change that it has yet to tell.
+    /// Applies changes in the copy's era. Returns whether an item changed. Changes that are
+    /// already in the copy, because it was updated by a peer, are skipped. The copy's new
+    /// revision is that of the last change and not the store's revision in the same answer: a
+    /// store that delivers changes late may report a revision beyond a change that it has not
+    /// delivered yet.
     pub fn apply_events(&mut self, events: Vec<WatchEvent>) -> bool {
         let mut changed = false;
         for event in events {
@@ -183,14 +183,14 @@
     }
 
     fn write(&mut self, key: String, item: MirroredItem) -> bool {
-        let known = self.items.get(&key).map(|known| known.revision);
-        let ended = self.removed.get(&key).copied();
-        if known.max(ended).is_some_and(|known| known >= item.revision) {
+        let written_at = self.items.get(&key).map(|current| current.revision);
+        let removed_at = self.removed.get(&key).copied();
+        if written_at.max(removed_at).is_some_and(|last| last >= item.revision) {
             return false;
         }
         self.removed.remove(&key);
         let item = match self.items.remove(&key) {
-            Some(known) if known.outlives(&item) => known.lost_at(item.revision),
+            Some(current) if current.is_newer_than(&item) => current.lost_at(item.revision),
             _ => item,
         };
         self.items.insert(key, item);
@@ -198,8 +198,8 @@
     }
 
     fn remove(&mut self, key: String, revision: u64) -> bool {
-        let known = self.items.get(&key);
-        if known.is_none_or(|known| known.revision > revision) {
+        let current = self.items.get(&key);
+        if current.is_none_or(|current| current.revision > revision) {
             return false;
         }
         let removed = self.items.remove(&key);
@@ -208,18 +208,18 @@
             return true;
         }
         self.removed.insert(key, revision);
-        self.forget_oldest();
+        self.evict_oldest_removed();
         true
     }
 
-    fn forget_oldest(&mut self) {
-        if self.removed.len() <= MAX_GONE {
+    fn evict_oldest_removed(&mut self) {
+        if self.removed.len() <= MAX_REMOVED {
             return;
         }
         let oldest = self.removed.iter().min_by_key(|(_, revision)| **revision);
         if let Some((key, revision)) = oldest.map(|(key, revision)| (key.clone(), *revision)) {
             self.removed.remove(&key);
-            self.forgotten = self.forgotten.max(revision);
+            self.compacted = self.compacted.max(revision);
         }
     }
 }
--- a/crates/cometmoor-gateway/src/quarantine.rs
+++ b/crates/cometmoor-gateway/src/quarantine.rs
@@ -1,4 +1,7 @@
 //! The node's quarantine of requests that crash servers, shared by its threads.
+//!
+//! The decisions are those of [`Quarantine`] in the core; this module adds the lock, the clock,
+//! the notification of decisions and the log lines.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -11,8 +14,8 @@
 
 use crate::clock;
 
-/// Shared by the traffic thread, which sees servers crash, and the control thread, which
-/// hears of it from other nodes and from the store.
+/// Handle of the quarantine. It is shared by the traffic thread, which observes crashes of
+/// servers, and the control thread, which learns of others from other nodes and from the store.
 #[derive(Clone, Debug, Default)]
 pub struct QuarantineBoard {
     quarantine: Arc<Mutex<Quarantine>>,
@@ -20,42 +23,43 @@
 }
 
 impl QuarantineBoard {
-    fn with<Answer>(&self, act: impl FnOnce(&mut Quarantine, Timestamp) -> Answer) -> Answer {
+    fn with<Output>(&self, run: impl FnOnce(&mut Quarantine, Timestamp) -> Output) -> Output {
         let mut quarantine = self.quarantine.lock().unwrap_or_else(PoisonError::into_inner);
-        act(&mut quarantine, clock::timestamp())
+        run(&mut quarantine, clock::timestamp())
     }
 
-    /// Whether a request may be sent to a server.
+    /// Whether content may be sent to servers.
     pub fn status(&self, content: Fingerprint) -> QuarantineStatus {
         self.with(|quarantine, now| quarantine.status(content, now))
     }
 
-    /// Whether no server may get a request.
+    /// Whether content is quarantined, so that it must not be sent to any server.
     pub fn is_quarantined(&self, content: Fingerprint) -> bool {
         self.status(content) != QuarantineStatus::Allowed
     }
 
-    /// Notes that a server has answered a request well.
+    /// Records that a server has answered content successfully.
     pub fn note_answer(&self, content: Fingerprint) {
         if self.with(|quarantine, now| quarantine.note_answer(content, now)) {
             let content = content.to_string();
-            info!("[quarantine] a suspect was answered well and is cleared", kv: { content });
+            info!("[quarantine] a suspect was answered successfully and is cleared", kv: { content });
         }
     }
 
-    /// Notes that a server broke a connection under a request; whether it crashed is not known.
+    /// Records that a server's connection failed while content was in flight and that it is not
+    /// yet known whether the server crashed.
     pub fn begin_crash_check(&self, content: Fingerprint) {
         self.with(|quarantine, _| quarantine.begin_crash_check(content));
     }
 
-    /// Notes that it is known whether one of those servers crashed.
+    /// Records that for one of these servers it is now known whether it crashed.
     pub fn end_crash_check(&self, content: Fingerprint) {
         self.with(|quarantine, _| quarantine.end_crash_check(content));
         self.check_ended.notify_waiters();
     }
 
-    /// Waits until it is known whether a request has crashed so many servers that it is
-    /// quarantined.
+    /// Waits until the pending crash checks can no longer bring content to the crash limit, so
+    /// that it is decided whether it is quarantined.
     pub async fn wait_for_decision(&self, content: Fingerprint) {
         loop {
             let ended = self.check_ended.notified();
@@ -66,63 +70,64 @@
         }
     }
 
-    /// Notes that a server crashed while a request was there.
+    /// Records that a server crashed while content was in flight on it.
     pub fn note_crash(&self, content: Fingerprint, server: IncarnationKey) -> CrashVerdict {
         self.with(|quarantine, now| quarantine.note_crash(content, server, now))
     }
 
-    /// Takes what another node reports.
+    /// Merges the reports of another node.
     pub fn merge(&self, reports: &[SuspectReport], peer: &str) {
         if reports.is_empty() {
             return;
         }
         for content in self.with(|quarantine, now| quarantine.merge(reports, now)) {
             let content = content.to_string();
-            warn!("[quarantine] no server gets a request from now on", kv: { content, source = "peer", peer });
+            warn!("[quarantine] the request is quarantined", kv: { content, source = "peer", peer });
         }
     }
 
-    /// What the next message to other nodes carries.
+    /// The reports for the next message to other nodes.
     pub fn next_reports(&self) -> Vec<SuspectReport> {
         self.with(Quarantine::next_reports)
     }
 
-    /// Reports again what a node lacks that has come.
+    /// Schedules reports to be sent again, for a node that has joined without them.
     pub fn report_again(&self) {
         self.with(|quarantine, _| quarantine.report_again());
     }
 
-    /// Takes content that the store holds as quarantined.
+    /// Quarantines content that the store holds as quarantined, unless this node knows that it
+    /// was cleared.
     pub fn restore(&self, content: Fingerprint) {
         if !self.with(|quarantine, now| quarantine.restore(content, now)) {
             return;
         }
         let content = content.to_string();
-        warn!("[quarantine] no server gets a request from now on", kv: { content, source = "store" });
+        warn!("[quarantine] the request is quarantined", kv: { content, source = "store" });
     }
 
-    /// Contents that are quarantined, which the store does not hold yet: those by a crash
-    /// that this node saw, and all others where it writes for the fleet.
+    /// Quarantined content that the store does not hold yet: that quarantined by a crash that
+    /// this node observed, and with `for_fleet` also what others reported.
     pub fn unstored(&self, for_fleet: bool) -> Vec<Fingerprint> {
         self.with(|quarantine, now| quarantine.unstored(for_fleet, now))
     }
 
-    /// Notes that the store may have lost what it held.
+    /// Records that the store may have lost all quarantines.
     pub fn clear_stored(&self) {
         self.with(|quarantine, _| quarantine.clear_stored());
     }
 
-    /// Notes that the store holds the quarantine of content.
+    /// Records that the store holds the quarantine of content.
     pub fn note_stored(&self, content: Fingerprint) {
         self.with(|quarantine, _| quarantine.note_stored(content));
     }
 
-    /// When content was last blamed for a crash that this node saw.
+    /// When content was last blamed for a crash that this node observed; `None` if it never was.
     pub fn last_blamed(&self) -> Option<Timestamp> {
         self.with(|quarantine, _| quarantine.last_blamed())
     }
 
-    /// Records: of contents that are quarantined, and of all others.
+    /// Number of records of quarantined content, and number of all other records.
     pub fn counts(&self) -> (usize, usize) {
         self.with(|quarantine, now| quarantine.counts(now))
     }
