--- a/crates/cometmoor-gateway/src/control/fleet/copies.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/copies.rs
@@ -137,8 +137,10 @@
     /// copy.
     pub(super) fn encoded_changes_since(&mut self, after: StorePosition) -> Option<Bytes> {
         let position = self.mirror.position;
-        let cached = self.encoded.as_ref();
-        let cached = cached.filter(|cached| (cached.position, cached.after) == (position, after));
+        let cached = self
+            .encoded
+            .as_ref()
+            .filter(|cached| (cached.position, cached.after) == (position, after));
         if let Some(cached) = cached {
             return Some(cached.bytes.clone());
         }
--- a/crates/cometmoor-gateway/src/control/fleet/messages.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/messages.rs
@@ -441,7 +441,7 @@
         let first_request = self.demand.first_request();
         let now = self.now();
         let mut awaited_models = self.peers.awaited_models(now);
-        awaited_models.extend(self.context.loads.waited_for(clock::now()));
+        awaited_models.extend(self.context.loads.awaited_models(clock::now()));
         MessageResult(DemandView { rates, now, first_request, awaited_models })
     }
 }
