--- a/crates/cometmoor-gateway/src/control/demand.rs
+++ b/crates/cometmoor-gateway/src/control/demand.rs
@@ -47,7 +47,7 @@
         for (key, demand) in &heartbeat.demand {
             let last = self.last.insert((source, *key), *demand).unwrap_or_default();
             let requests = demand.requests.saturating_sub(last.requests);
-            let prefill = demand.work_micros.saturating_sub(last.work_micros);
+            let prefill = demand.prefill_micros.saturating_sub(last.prefill_micros);
             self.rates.requests_per_second.record(*key, requests as f64, now);
             self.rates.prefill.record(*key, prefill as f64 / MICROS_PER_SECOND, now);
             let slots = demand.slot_micros.saturating_sub(last.slot_micros);
--- a/crates/cometmoor-gateway/src/forward/traffic.rs
+++ b/crates/cometmoor-gateway/src/forward/traffic.rs
@@ -15,7 +15,7 @@
 use crate::pace::{FEW_RUNNING, PaceTable};
 use crate::published::Board;
 use crate::quarantine::QuarantineBoard;
-use crate::quota::QuotaDesk;
+use crate::quota::QuotaLimiter;
 use crate::servers::ServerTable;
 use crate::settings::GatewaySettings;
 use crate::signals::SignalBoard;
@@ -35,7 +35,7 @@
     /// What servers report of themselves.
     pub signals: SignalBoard,
     /// Tenants' limits.
-    pub quota: Rc<QuotaDesk>,
+    pub quota: Rc<QuotaLimiter>,
     /// The servers.
     pub servers: RefCell<ServerTable>,
     pub(super) started: BootInstant,
@@ -56,7 +56,7 @@
         loads: LoadBoard,
         quarantine: QuarantineBoard,
         signals: SignalBoard,
-        quota: Rc<QuotaDesk>,
+        quota: Rc<QuotaLimiter>,
         metrics: Arc<Metrics>,
     ) -> TrafficContext {
         TrafficContext {
@@ -100,9 +100,9 @@
     /// Whether a prompt would wait for no other one at the server.
     pub(super) fn is_idle(&self, server: &str) -> bool {
         let remote = self.board.remote_load.load();
-        let load = self.loads.of(server);
+        let load = self.loads.server_load(server);
         let load = load.plus(remote.get(&server_key(server)).copied().unwrap_or_default());
-        load.pending.is_none() && load.in_flight < FEW_RUNNING
+        load.pending.is_zero() && load.in_flight < FEW_RUNNING
     }
 
     /// Takes a repeated send out of the fleet's budget.
