--- a/crates/cometmoor-gateway/src/membership/hub_state.rs
+++ b/crates/cometmoor-gateway/src/membership/hub_state.rs
@@ -23,7 +23,8 @@
 const BYTES_PER_MEMBER: usize = 5;
 /// Minimum time between two digests, and two introductions, for an uninformed node.
 const UNINFORMED_DIGEST_INTERVAL: Duration = Duration::from_millis(1150);
-/// Time for which a node is sent digests after its last request.
+/// Time for which a node is sent digests after its last request, or after its last heartbeat that
+/// showed it to be uninformed.
 const SUBSCRIPTION_LIFETIME: Duration = Duration::from_millis(1500);
 /// Time after its last request for which the silence of a node shows that it is gone.
 const SUBSCRIBER_RETENTION: Duration = Duration::from_secs(3);
--- a/crates/cometmoor-gateway/src/membership/mod.rs
+++ b/crates/cometmoor-gateway/src/membership/mod.rs
@@ -231,7 +231,7 @@
         !self.is_large
     }
 
-    /// Number of other nodes that may be using a shared budget: those seen within the last 20 s.
+    /// Number of other nodes that may be using a shared budget: those seen recently.
     pub fn recent_peer_count(&self, now: Timestamp) -> usize {
         self.last_seen.values().filter(|seen| now.since(**seen) <= RECENT_PEER_WINDOW).count()
     }
--- a/crates/cometmoor-gateway/src/peer.rs
+++ b/crates/cometmoor-gateway/src/peer.rs
@@ -110,7 +110,7 @@
     encoder.finish().unwrap_or_default()
 }
 
-/// Decodes a peer's update; `None` if it is malformed or larger than [`MAX_UPDATE_BYTES`].
+/// Decodes a peer's update; `None` if it is malformed or longer than `MAX_UPDATE_BYTES`.
 pub fn decode_update(bytes: &[u8]) -> Option<MirrorUpdate> {
     let mut encoded = Vec::new();
     DeflateDecoder::new(bytes).take(MAX_UPDATE_BYTES).read_to_end(&mut encoded).ok()?;
--- a/crates/cometmoor-gateway/src/published.rs
+++ b/crates/cometmoor-gateway/src/published.rs
@@ -1,4 +1,4 @@
-//! State that the control thread publishes to the traffic threads.
+//! State that the control thread publishes to the other threads.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddrV4;
