--- a/crates/cometmoor-gateway/src/fingerprint.rs
+++ b/crates/cometmoor-gateway/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What tells a request that comes again from others: its content, whatever identifier
+//! Fingerprints by which a retried request is recognized: of its content, whatever identifier
 //! the attempt carries.
 
 use cometmoor_core::gateway::quarantine::Fingerprint;
@@ -6,24 +6,24 @@
 
 use crate::http::head::RequestHead;
 
-/// Headers by which a caller names itself.
+/// Headers that identify the caller.
 const CALLER_HEADERS: [&str; 2] = ["authorization", "cookie"];
 
-/// The fingerprint of a request: of its method, host, path with query, caller and body.
-/// Headers that a caller sets anew for each attempt, as the identifier, the time left or a
-/// guess of the answer's length, are left out.
+/// Computes the fingerprint of a request from its method, host, path with query, caller and
+/// body. Headers that a caller sets anew for each attempt, such as the identifier, the time left
+/// or an estimate of the response length, are not included.
 pub fn fingerprint(head: &RequestHead, body: &[u8]) -> Fingerprint {
     let mut hash = Xxh3::new();
-    let mut add = |part: &[u8]| {
+    let mut add_part = |part: &[u8]| {
         hash.update(&(part.len() as u64).to_le_bytes());
         hash.update(part);
     };
-    add(head.method.as_bytes());
-    add(head.host().unwrap_or_default().as_bytes());
-    add(head.target.as_bytes());
+    add_part(head.method.as_bytes());
+    add_part(head.host().unwrap_or_default().as_bytes());
+    add_part(head.target.as_bytes());
     for name in CALLER_HEADERS {
-        head.headers.all(name).for_each(|value| add(value.as_bytes()));
+        head.headers.all(name).for_each(|value| add_part(value.as_bytes()));
     }
-    add(body);
+    add_part(body);
     Fingerprint(hash.digest())
 }
--- a/crates/cometmoor-gateway/tests/server_limits.rs
+++ b/crates/cometmoor-gateway/tests/server_limits.rs
@@ -1,9 +1,10 @@
-//! Servers' limits over all nodes, in virtual time: what reaches a server in any four seconds
-//! stays within what operators allow, whatever fails, and the limit is used under pressure.
+//! Simulation of server limits that all nodes share, in virtual time. The requests that reach a
+//! server in any four seconds stay within the operators' bound, whatever fails, and the limit is
+//! used when demand exceeds it.
 //!
-//! `COMETMOOR_QUOTA_SEEDS` runs more seeds. `COMETMOOR_QUOTA_TABLE=1` prints the ways side
-//! by side (`cargo test --release -p cometmoor-gateway --test server_limits -- --nocapture
-//! table`).
+//! `COMETMOOR_QUOTA_SEEDS` sets the number of seeds. `COMETMOOR_QUOTA_TABLE=1` prints a
+//! comparison of the policies (`cargo test --release -p cometmoor-gateway --test server_limits
+//! -- --nocapture table`).
 
 mod quota_world;
 mod world;
@@ -19,82 +20,96 @@
 use quota_world::tenants::{Outcome, SimulatedTenant};
 use quota_world::{QuotaWorld, WARM, seeds};
 
-/// Seconds that are played.
-const PLAYED: u64 = 20;
-/// Seconds after which the use of a limit is counted.
-const USED_FROM: u64 = 4;
+/// Simulated seconds after the warm-up.
+const SIMULATED_SECONDS: u64 = 20;
+/// Second after the warm-up from which the use of a limit is measured.
+const MEASURED_FROM: u64 = 4;
 /// Window of the operators' bound.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Limits that servers name, in requests a second.
+/// Limits of the servers, in requests per second.
 const LIMITS: [f64; 4] = [0.5, 1.0, 5.0, 40.0];
-/// Requests a second that would go to each server if it had no limit.
+/// Requests per second that each server would receive if it had no limit.
 const DEMAND: f64 = 60.0;
-/// Part of a limit that has to be used under pressure.
-const USED_UNDER_PRESSURE: f64 = 0.8;
+/// Share of a limit that has to be used when demand exceeds it.
+const MIN_USED_SHARE: f64 = 0.8;
 
-fn allowed(per_second: f64) -> f64 {
+/// Requests that may reach a server in one window.
+fn max_in_window(per_second: f64) -> f64 {
     1.5 * per_second * WINDOW.as_secs_f64() + 5.0
 }
 
+/// Servers as holders of limits; demand is given as a multiple of the limit.
 fn servers() -> Vec<SimulatedTenant> {
-    let of = |(place, per_second): (usize, &f64)| SimulatedTenant {
-        key: QuotaKey::of(&format!("server-{place}")),
+    let server = |(index, per_second): (usize, &f64)| SimulatedTenant {
+        key: QuotaKey::of(&format!("server-{index}")),
         limit: server_limit(*per_second, 1),
         sends: vec![(0, DEMAND / per_second)],
     };
-    LIMITS.iter().enumerate().map(of).collect()
+    LIMITS.iter().enumerate().map(server).collect()
 }
 
-/// What one server met.
+/// Results for one server.
 #[derive(Clone, Copy, Debug, Default)]
-struct Met {
+struct ServerResult {
     per_second: f64,
+    /// Most requests in any window.
     most: f64,
+    /// Share of the limit that was used.
     used: f64,
 }
 
-struct Shown {
-    met: Vec<Met>,
+struct SimulationResult {
+    servers: Vec<ServerResult>,
+    /// Message bytes per node and second.
     bytes: f64,
+    /// Median and 99th percentile of the wait for a decision, in milliseconds.
     waits: (f64, f64),
 }
 
-impl Shown {
+impl SimulationResult {
     fn line(&self) -> String {
         let figures: Vec<String> = self
-            .met
+            .servers
             .iter()
-            .map(|met| format!("{:.0}/{:.0} {:.2}", met.most, allowed(met.per_second), met.used))
+            .map(|server| {
+                format!(
+                    "{:.0}/{:.0} {:.2}",
+                    server.most,
+                    max_in_window(server.per_second),
+                    server.used
+                )
+            })
             .collect();
-        let (bytes, (middle, long)) = (self.bytes, self.waits);
-        format!("{} | {bytes:.0} B; {middle:.1} {long:.0} ms", figures.join(" | "))
+        let (bytes, (median, p99)) = (self.bytes, self.waits);
+        format!("{} | {bytes:.0} B; {median:.1} {p99:.0} ms", figures.join(" | "))
     }
 }
 
-fn play<Policy: SimulatedPolicy>(
+/// Runs a simulation; `inject_faults` is called at the start of each second after the warm-up.
+fn simulate<Policy: SimulatedPolicy>(
     nodes: usize,
     seed: u64,
-    happen: impl Fn(&mut QuotaWorld<Policy>, u64),
-) -> Shown {
+    inject_faults: impl Fn(&mut QuotaWorld<Policy>, u64),
+) -> SimulationResult {
     let mut world = QuotaWorld::with_bounds(nodes, servers(), seed, SERVER_LIMIT_BOUNDS, vec![1.0]);
     world.run_until(WARM);
     world.open_to_callers();
-    for second in 0..PLAYED {
-        happen(&mut world, second);
+    for second in 0..SIMULATED_SECONDS {
+        inject_faults(&mut world, second);
         world.run_until(WARM + second + 1);
     }
-    let met = |(server, outcome): (&SimulatedTenant, &Outcome)| Met {
+    let result = |(server, outcome): (&SimulatedTenant, &Outcome)| ServerResult {
         per_second: server.limit.limit.per_second,
         most: outcome.most_in(WINDOW),
-        used: outcome.use_of(&server.limit.limit, WARM + USED_FROM, WARM + PLAYED),
+        used: outcome.use_of(&server.limit.limit, WARM + MEASURED_FROM, WARM + SIMULATED_SECONDS),
     };
     let mut waits = world.waits.clone();
     waits.sort_unstable();
-    let wait = |hundredths: usize| waits[waits.len() * hundredths / 100] as f64 / 1000.0;
-    Shown {
-        met: world.tenants.iter().zip(&world.outcomes).map(met).collect(),
-        bytes: world.bytes as f64 / (nodes as u64 * (WARM + PLAYED)) as f64,
-        waits: (wait(50), wait(99)),
+    let percentile = |percent: usize| waits[waits.len() * percent / 100] as f64 / 1000.0;
+    SimulationResult {
+        servers: world.tenants.iter().zip(&world.outcomes).map(result).collect(),
+        bytes: world.bytes as f64 / (nodes as u64 * (WARM + SIMULATED_SECONDS)) as f64,
+        waits: (percentile(50), percentile(99)),
     }
 }
 
@@ -115,84 +130,89 @@
     }
 }
 
-/// Starts each node anew in turn, two a second.
-fn restart_in_turn<Policy: SimulatedPolicy>(world: &mut QuotaWorld<Policy>, second: u64) {
+/// Restarts one node after the other, two per second.
+fn rolling_restart<Policy: SimulatedPolicy>(world: &mut QuotaWorld<Policy>, second: u64) {
     for half in 0..2 {
-        let place = (2 * second + half) as usize % world.places();
-        let node = world.address(place);
+        let index = (2 * second + half) as usize % world.places();
+        let node = world.address(index);
         world.kill(node);
-        world.start(place..place + 1);
+        world.start(index..index + 1);
     }
 }
 
-fn is_calm<Policy: SimulatedPolicy>(_: &mut QuotaWorld<Policy>, _: u64) {}
+fn no_faults<Policy: SimulatedPolicy>(_: &mut QuotaWorld<Policy>, _: u64) {}
 
-fn assert_bound(shown: &Shown, what: &str) {
-    for met in &shown.met {
-        assert!(met.most <= allowed(met.per_second), "{what}: {}", shown.line());
+fn assert_bound(result: &SimulationResult, scenario: &str) {
+    for server in &result.servers {
+        assert!(server.most <= max_in_window(server.per_second), "{scenario}: {}", result.line());
     }
 }
 
 #[test]
-fn a_limit_is_held_and_used_by_any_number_of_nodes() {
+fn limit_is_enforced_and_used_at_any_fleet_size() {
     for seed in 1..=seeds(1) {
         for nodes in [3, 6, 30, 90] {
-            let shown = play::<LendingPolicy>(nodes, seed, is_calm);
-            assert_bound(&shown, "calm");
-            for met in &shown.met {
-                assert!(met.used >= USED_UNDER_PRESSURE, "{nodes} nodes: {}", shown.line());
+            let result = simulate::<LendingPolicy>(nodes, seed, no_faults);
+            assert_bound(&result, "no faults");
+            for server in &result.servers {
+                assert!(server.used >= MIN_USED_SHARE, "{nodes} nodes: {}", result.line());
             }
         }
     }
 }
 
 #[test]
-fn a_limit_is_held_while_nodes_are_cut_off_frozen_killed_and_started_again() {
+fn limit_is_enforced_during_partitions_freezes_and_restarts() {
     for seed in 1..=seeds(1) {
         for nodes in [6, 30] {
-            assert_bound(&play::<LendingPolicy>(nodes, seed, cut_a_third), "cut off together");
+            assert_bound(&simulate::<LendingPolicy>(nodes, seed, cut_a_third), "partition");
             assert_bound(
-                &play::<LendingPolicy>(nodes, seed, isolate_a_third),
-                "cut off one by one",
+                &simulate::<LendingPolicy>(nodes, seed, isolate_a_third),
+                "isolated nodes",
+            );
+            assert_bound(&simulate::<LendingPolicy>(nodes, seed, freeze_lenders), "lenders frozen");
+            assert_bound(&simulate::<LendingPolicy>(nodes, seed, kill_all), "all nodes killed");
+            assert_bound(
+                &simulate::<LendingPolicy>(nodes, seed, rolling_restart),
+                "rolling restart",
             );
-            assert_bound(&play::<LendingPolicy>(nodes, seed, freeze_lenders), "lenders frozen");
-            assert_bound(&play::<LendingPolicy>(nodes, seed, kill_all), "all killed");
-            assert_bound(&play::<LendingPolicy>(nodes, seed, restart_in_turn), "started in turn");
         }
     }
 }
 
-fn print<Policy: SimulatedPolicy>(way: &str) {
-    type Happen<Policy> = fn(&mut QuotaWorld<Policy>, u64);
-    let plays: [(&str, Happen<Policy>); 6] = [
-        ("calm", is_calm),
-        ("a third cut off together", cut_a_third),
-        ("a third cut off one by one", isolate_a_third),
+fn print<Policy: SimulatedPolicy>(policy: &str) {
+    type InjectFaults<Policy> = fn(&mut QuotaWorld<Policy>, u64);
+    let scenarios: [(&str, InjectFaults<Policy>); 6] = [
+        ("no faults", no_faults),
+        ("partition of a third", cut_a_third),
+        ("a third isolated", isolate_a_third),
         ("lenders frozen", freeze_lenders),
-        ("all killed", kill_all),
-        ("started again in turn", restart_in_turn),
+        ("all nodes killed", kill_all),
+        ("rolling restart", rolling_restart),
     ];
-    for (name, happen) in plays {
+    for (name, inject_faults) in scenarios {
         for nodes in [3, 6, 30, 90, 300] {
-            let mut worst = play::<Policy>(nodes, 1, happen);
+            let mut worst = simulate::<Policy>(nodes, 1, inject_faults);
             for seed in 2..=seeds(1) {
-                let shown = play::<Policy>(nodes, seed, happen);
-                for (worst, met) in worst.met.iter_mut().zip(shown.met) {
-                    worst.most = worst.most.max(met.most);
-                    worst.used = worst.used.min(met.used);
+                let result = simulate::<Policy>(nodes, seed, inject_faults);
+                for (worst, server) in worst.servers.iter_mut().zip(result.servers) {
+                    worst.most = worst.most.max(server.most);
+                    worst.used = worst.used.min(server.used);
                 }
             }
-            eprintln!("{way}, {name}, {nodes} nodes | {}", worst.line());
+            eprintln!("{policy}, {name}, {nodes} nodes | {}", worst.line());
         }
     }
 }
 
 #[test]
-fn table_of_the_ways() {
+fn table_of_the_policies() {
     if std::env::var("COMETMOOR_QUOTA_TABLE").is_err() {
         return;
     }
-    eprintln!("limits {LIMITS:?}: most in 4 s/allowed, least use; bytes a node and second; waits");
-    print::<LendingPolicy>("lent");
+    eprintln!(
+        "limits {LIMITS:?}: most in 4 s/allowed, least share used; bytes per node and second; waits"
+    );
+    print::<LendingPolicy>("lending");
     print::<EqualShares>("equal shares");
 }
