--- a/crates/cometmoor-gateway/src/forward/tenant.rs
+++ b/crates/cometmoor-gateway/src/forward/tenant.rs
@@ -11,7 +11,7 @@
 use super::{ForwardedRequest, UNDECIDED_RETRY_AFTER};
 use crate::clock;
 use crate::dialect::RequestFacts;
-use crate::published::Published;
+use crate::published::FleetSnapshot;
 
 /// Shortest retry delay for a request over its tenant's limit.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(20);
@@ -26,7 +26,7 @@
 }
 
 /// Decides by the active configuration whether the key of a request gives access to a route.
-pub fn check_access(fleet: &Published, route: &Route, facts: &RequestFacts) -> Access {
+pub fn check_access(fleet: &FleetSnapshot, route: &Route, facts: &RequestFacts) -> Access {
     let tenants = fleet.configuration.as_ref().and_then(|known| known.tenants.as_deref());
     access(tenants, route, facts.key, fleet.key_freshness())
 }
--- a/crates/cometmoor-gateway/src/forward/traffic.rs
+++ b/crates/cometmoor-gateway/src/forward/traffic.rs
@@ -109,7 +109,7 @@
     /// Consumes a retry of the service's budget, which the fleet shares; returns false if it is
     /// used up.
     pub(super) fn try_retry(&self, service: &str) -> bool {
-        let nodes = self.board.fleet.load().nodes_seen;
+        let nodes = self.board.fleet.load().recent_nodes;
         let now = self.now();
         self.with_retry_budget(service, |budget| budget.try_retry(now, nodes))
     }
