--- a/crates/cometmoor-gateway/src/forward/crash_check.rs
+++ b/crates/cometmoor-gateway/src/forward/crash_check.rs
@@ -18,7 +18,7 @@
 use crate::metrics::Metrics;
 use crate::published::Board;
 use crate::quarantine::QuarantineBoard;
-use crate::servers::{BrokenRequest, Server};
+use crate::servers::{InterruptedRequest, Server};
 
 /// Connection attempts to a server that neither accepts nor refuses them in time.
 const MAX_PROBES: u32 = 3;
@@ -38,12 +38,13 @@
     /// Records that the connection to a server ended before its response did, and starts to
     /// check whether the server has crashed. A draining server is expected to end.
     pub(super) fn record_lost_connection(&self, server: &Rc<Server>, error: &io::Error) {
-        if !is_end_of_connection(error) || !server.takes_work() {
+        if !is_end_of_connection(error) || !server.accepts_requests() {
             return;
         }
         self.traffic.quarantine.begin_crash_check(self.content);
-        let request = BrokenRequest { content: self.content, request: self.facts.id.clone() };
-        let is_first = server.note_broken(request);
+        let request =
+            InterruptedRequest { content: self.content, request_id: self.facts.id.clone() };
+        let is_first = server.record_interrupted(request);
         if is_first {
             let check = CrashCheck {
                 server: server.clone(),
@@ -58,14 +59,17 @@
     /// Waits briefly until it is known whether the server has crashed. A request that is retried
     /// earlier could crash the next server before it is blamed for this one.
     pub(super) async fn wait_for_crash_check(&self, server: &Server) {
-        let _ = clock::timeout(MAX_CRASH_CHECK_WAIT, server.probed()).await;
+        let _ = clock::timeout(MAX_CRASH_CHECK_WAIT, server.wait_for_probe()).await;
     }
 
     /// Waits briefly for the verdict if the request may have crashed enough servers to be
     /// quarantined.
     pub(super) async fn wait_for_verdict(&self) {
-        let _ =
-            clock::timeout(MAX_VERDICT_WAIT, self.traffic.quarantine.decided(self.content)).await;
+        let _ = clock::timeout(
+            MAX_VERDICT_WAIT,
+            self.traffic.quarantine.wait_for_decision(self.content),
+        )
+        .await;
     }
 
     /// Records a complete response whose end was given by its framing, which clears the request
@@ -91,21 +95,21 @@
 impl CrashCheck {
     async fn run(self) {
         let has_crashed = self.has_crashed().await;
-        let lost = self.server.take_broken();
+        let lost = self.server.take_interrupted();
         if has_crashed {
             self.metrics.server_crashes.inc();
             lost.iter().for_each(|request| self.blame(request));
             self.board.heartbeat_wanted.notify_one();
         }
         lost.iter().for_each(|request| self.quarantine.end_crash_check(request.content));
-        self.server.note_probed();
+        self.server.record_probe();
     }
 
     async fn has_crashed(&self) -> bool {
         for _ in 0..MAX_PROBES {
             match self.server.pool.probe().await {
                 Ok(stream) => {
-                    self.server.note_probed();
+                    self.server.record_probe();
                     clock::sleep(PROBE_OPEN_TIME).await;
                     if self.server.pool.keep(stream) {
                         return false;
@@ -118,9 +122,9 @@
         false
     }
 
-    fn blame(&self, lost: &BrokenRequest) {
+    fn blame(&self, lost: &InterruptedRequest) {
         let incarnation = &*self.server.record().incarnation;
-        let (request, content) = (&*lost.request, lost.content.to_string());
+        let (request, content) = (&*lost.request_id, lost.content.to_string());
         match self.quarantine.note_crash(lost.content, server_key(incarnation)) {
             CrashVerdict::Cleared => {
                 info!("[quarantine] a server crashed; the request is cleared as other servers answer it", kv: { request, content, server = incarnation });
--- a/crates/cometmoor-gateway/src/forward/exchange.rs
+++ b/crates/cometmoor-gateway/src/forward/exchange.rs
@@ -152,7 +152,7 @@
                 &record.incarnation,
                 "it belongs to another request",
             );
-            server.note_failure(clock::now());
+            server.record_failure(clock::now());
             response = next_response(response, self.head.method == "HEAD")
                 .await
                 .map_err(SendError::ConnectionLost)?;
@@ -169,7 +169,7 @@
         let facts = self.traffic.dialect.answer_facts(&response.head);
         let Some(signals) = facts.signals else { return };
         let board = &self.traffic.signals;
-        if board.note_answer(&record.incarnation, &self.facts.id, signals, sent_at) {
+        if board.note_response(&record.incarnation, &self.facts.id, signals, sent_at) {
             self.traffic.board.heartbeat_wanted.notify_one();
         }
     }
--- a/crates/cometmoor-gateway/src/forward/permit.rs
+++ b/crates/cometmoor-gateway/src/forward/permit.rs
@@ -15,7 +15,7 @@
 use super::ForwardedRequest;
 use crate::clock;
 use crate::metrics::StateLabels;
-use crate::quota::QuotaDesk;
+use crate::quota::QuotaLimiter;
 use crate::servers::Server;
 
 /// Timeout of the decision on a server's limit, after which another server is tried. Most
@@ -26,7 +26,7 @@
 
 /// Permits one request to be sent to a server. Dropping an unused permit refunds it.
 pub(super) struct SendPermit {
-    quota: Rc<QuotaDesk>,
+    quota: Rc<QuotaLimiter>,
     /// The server, if it has a limit.
     limited_server: Option<IncarnationHash>,
     /// Whether the request may have reached the server.
@@ -43,7 +43,7 @@
 impl Drop for SendPermit {
     fn drop(&mut self) {
         if let Some(server) = self.limited_server.filter(|_| !self.is_sent.get()) {
-            self.quota.give_send_back(server);
+            self.quota.refund_send(server);
         }
     }
 }
--- a/crates/cometmoor-gateway/src/forward/relay.rs
+++ b/crates/cometmoor-gateway/src/forward/relay.rs
@@ -15,7 +15,7 @@
 use crate::clock;
 use crate::http::connection::write_all;
 use crate::http::head::Framing;
-use crate::load::Sent;
+use crate::load::InFlightGuard;
 use crate::pool::Pool;
 use crate::servers::Server;
 
@@ -175,14 +175,14 @@
 /// Records the first event of a stream, from which the prefill speed of its model is learned.
 pub struct FirstEventRecorder<'a> {
     /// The request in the load of the server.
-    pub guard: &'a mut Sent,
+    pub guard: &'a mut InFlightGuard,
     /// When the request was sent, if its prompt did not wait for others.
     pub sent_at: Option<BootInstant>,
 }
 
 impl FirstEventRecorder<'_> {
     fn record(&mut self, request: &ForwardedRequest<'_>) {
-        self.guard.first_event();
+        self.guard.record_first_event();
         let Some(sent_at) = self.sent_at.take() else { return };
         let Some(model) = &request.facts.model else { return };
         let mut paces = request.traffic.paces.borrow_mut();
--- a/crates/cometmoor-gateway/src/forward/send.rs
+++ b/crates/cometmoor-gateway/src/forward/send.rs
@@ -12,7 +12,7 @@
 use super::{ConnectionAction, ForwardedRequest};
 use crate::clock;
 use crate::dialect::RunCopy;
-use crate::load::PendingWork;
+use crate::load::PendingPrefill;
 use crate::servers::Server;
 
 /// Outcome of one attempt.
@@ -63,7 +63,7 @@
         let connection = match checkout {
             Ok(connection) => connection,
             Err(error) => {
-                server.note_unreachable(clock::now());
+                server.record_unreachable(clock::now());
                 self.log_failure("unreachable", "connect", &record.incarnation, &error.to_string());
                 return SendOutcome::Unreachable;
             }
@@ -80,7 +80,7 @@
         };
         // Both may have changed while waiting for the connection or the permit.
         let is_quarantined = self.traffic.quarantine.is_quarantined(self.content);
-        if !server.takes_work() || is_quarantined {
+        if !server.accepts_requests() || is_quarantined {
             return SendOutcome::Unreachable;
         }
         // A run that continues from its copy was sent before, so its key was checked.
@@ -92,10 +92,10 @@
         let is_prompt_alone = copy.is_none() && self.traffic.is_lightly_loaded(&record.incarnation);
         let sent_at = is_prompt_alone.then(clock::now);
         let pending = match copy {
-            Some(_) => PendingWork::default(),
-            None => self.pending_work(),
+            Some(_) => PendingPrefill::default(),
+            None => self.pending_prefill(),
         };
-        let mut guard = self.traffic.loads.sent(&record.incarnation, pending);
+        let mut guard = self.traffic.loads.add_in_flight(&record.incarnation, pending);
         // A run that continues from its copy is not another attempt.
         let record_attempt = |change: fn(&mut Attempts)| {
             if copy.is_none() {
@@ -118,7 +118,7 @@
                 return SendOutcome::Unreachable;
             }
             Err(error) => {
-                server.note_failure(clock::now());
+                server.record_failure(clock::now());
                 self.record_lost_connection(server, error.source());
                 return SendOutcome::Failed(error);
             }
@@ -139,21 +139,21 @@
             let mut recorder = FirstEventRecorder { guard: &mut guard, sent_at };
             return self.relay_stream(server, response, stream, &mut recorder).await;
         }
-        guard.first_event();
+        guard.record_first_event();
         self.relay_response(server, response, stream).await
     }
 
     /// Prefill work that the request adds to the queue of a server.
-    fn pending_work(&self) -> PendingWork {
-        PendingWork::of(self.prefill_time(self.facts.prompt_tokens), self.priority())
+    fn pending_prefill(&self) -> PendingPrefill {
+        PendingPrefill::of(self.prefill_time(self.facts.prompt_tokens), self.priority())
     }
 
     fn record_rejection(&self, server: &Server, misdirected: bool) {
         let now = clock::now();
         match (&self.facts.model, misdirected) {
-            (Some(model), true) => server.note_missing(model, now),
-            (None, true) => server.note_replaced(),
-            (_, false) => server.note_shed(now),
+            (Some(model), true) => server.record_missing(model, now),
+            (None, true) => server.mark_replaced(),
+            (_, false) => server.record_rejection(now),
         }
     }
 
@@ -178,7 +178,7 @@
                 if has_announced_end {
                     self.record_complete_response();
                 }
-                server.note_success(clock::now());
+                server.record_success(clock::now());
                 self.record_stream_duration(&stream.intervals);
                 self.log_stream_completed(&server.record().incarnation, &stream.intervals);
                 SendOutcome::Finished(action)
@@ -195,7 +195,7 @@
             }
             Err(RelayError::Migrated(continuation)) => SendOutcome::Migrated(continuation),
             Err(RelayError::Server(error)) => {
-                server.note_failure(clock::now());
+                server.record_failure(clock::now());
                 self.record_lost_connection(server, &error);
                 if stream.head_sent {
                     SendOutcome::StreamInterrupted
@@ -220,7 +220,7 @@
         let buffered = match relay::buffer_body(&mut response).await {
             Ok(buffered) => buffered,
             Err(error) => {
-                server.note_failure(clock::now());
+                server.record_failure(clock::now());
                 self.record_lost_connection(server, &error);
                 return SendOutcome::Failed(SendError::ConnectionLost(error));
             }
@@ -232,14 +232,14 @@
         let has_announced_end = !response.decoder.ends_with_connection();
         let response = response.release_connection(&server.pool);
         if status < 500 {
-            server.note_success(clock::now());
+            server.record_success(clock::now());
             if has_announced_end {
                 self.record_complete_response();
             }
             self.log_completed(&server.record().incarnation, status);
             return SendOutcome::Finished(self.relay_buffered(response, buffered.bytes).await);
         }
-        server.note_failure(clock::now());
+        server.record_failure(clock::now());
         self.log_failure(
             "server error",
             "answer",
--- a/crates/cometmoor-gateway/src/forward/server_selection.rs
+++ b/crates/cometmoor-gateway/src/forward/server_selection.rs
@@ -135,7 +135,7 @@
             return Selection::OnHold { recheck_after, retry_after };
         }
         let reachable: Vec<&Rc<Server>> =
-            eligible.iter().copied().filter(|server| !server.is_paused(now)).collect();
+            eligible.iter().copied().filter(|server| !server.is_backing_off(now)).collect();
         let servers = if reachable.is_empty() { eligible } else { reachable };
         let servers = self.apply_slow_start(servers, now);
         let candidates: Vec<Candidate> =
@@ -182,7 +182,7 @@
         now: BootInstant,
     ) -> Vec<&'s Rc<Server>> {
         let is_included = |server: &&Rc<Server>| {
-            let share = self.traffic.signals.eased_share(server.hash(), now);
+            let share = self.traffic.signals.slow_start_share(server.hash(), now);
             share >= 1.0 || share > self.hash_share(&server.record().id)
         };
         let included: Vec<&Rc<Server>> = servers.iter().copied().filter(is_included).collect();
@@ -206,7 +206,7 @@
         let Some(model) = &self.facts.model else { return Refusal::NoServer };
         let base = ModelName { model: model.model.clone(), adapter: None };
         let holds =
-            |server: &Rc<Server>| server.takes_work() && server.holds(&base, placement, now);
+            |server: &Rc<Server>| server.accepts_requests() && server.holds(&base, placement, now);
         match servers.iter().any(holds) {
             true if model.adapter.is_some() => Refusal::NoAdapter,
             true => Refusal::ServerRefused,
@@ -222,7 +222,7 @@
         now: BootInstant,
     ) -> impl Iterator<Item = &'t Rc<Server>> {
         let eligible = move |server: &&Rc<Server>| {
-            server.takes_work() && self.is_eligible(server, placement, now)
+            server.accepts_requests() && self.is_eligible(server, placement, now)
         };
         servers.iter().filter(eligible)
     }
@@ -276,14 +276,14 @@
 
     pub(super) fn candidate(&self, server: &Server, now: BootInstant) -> Candidate {
         let record = server.record();
-        let own = self.traffic.loads.of(&record.incarnation);
+        let own = self.traffic.loads.server_load(&record.incarnation);
         let remote = self.traffic.board.remote_load.load();
         let load =
             own.plus(remote.get(&server_key(&record.incarnation)).copied().unwrap_or_default());
         Candidate {
             in_flight: load.in_flight,
-            pending_millis: load.pending.millis_ahead_of(self.priority()),
-            backlog_millis: load.pending.millis(),
+            pending_millis: load.pending.millis_before(self.priority()),
+            backlog_millis: load.pending.total_millis(),
             slots: record.slots,
             same_zone: record.zone == self.traffic.settings.zone,
             has_idle_connection: server.pool.has_idle(now),
--- a/crates/cometmoor-gateway/src/forward/traffic.rs
+++ b/crates/cometmoor-gateway/src/forward/traffic.rs
@@ -15,7 +15,7 @@
 use crate::pace::{FEW_RUNNING, PaceTable};
 use crate::published::Board;
 use crate::quarantine::QuarantineBoard;
-use crate::quota::QuotaDesk;
+use crate::quota::QuotaLimiter;
 use crate::servers::ServerTable;
 use crate::settings::GatewaySettings;
 use crate::signals::SignalBoard;
@@ -35,7 +35,7 @@
     /// Signals that servers send in their responses.
     pub signals: SignalBoard,
     /// Limits of tenants and servers.
-    pub quota: Rc<QuotaDesk>,
+    pub quota: Rc<QuotaLimiter>,
     /// The servers in the registry, with this node's connections to them.
     pub servers: RefCell<ServerTable>,
     pub(super) started_at: BootInstant,
@@ -56,7 +56,7 @@
         loads: LoadBoard,
         quarantine: QuarantineBoard,
         signals: SignalBoard,
-        quota: Rc<QuotaDesk>,
+        quota: Rc<QuotaLimiter>,
         metrics: Arc<Metrics>,
     ) -> TrafficContext {
         TrafficContext {
@@ -101,9 +101,9 @@
     /// would be processed at once and at about full speed.
     pub(super) fn is_lightly_loaded(&self, server: &str) -> bool {
         let remote = self.board.remote_load.load();
-        let load = self.loads.of(server);
+        let load = self.loads.server_load(server);
         let load = load.plus(remote.get(&server_key(server)).copied().unwrap_or_default());
-        load.pending.is_none() && load.in_flight < FEW_RUNNING
+        load.pending.is_zero() && load.in_flight < FEW_RUNNING
     }
 
     /// Consumes a retry of the service's budget, which the fleet shares; returns false if it is
--- a/crates/cometmoor-gateway/tests/server_limits.rs
+++ b/crates/cometmoor-gateway/tests/server_limits.rs
@@ -14,11 +14,11 @@
 use cometmoor_core::gateway::quota::QuotaKey;
 use cometmoor_core::gateway::quota::lending::LendingPolicy;
 use cometmoor_core::gateway::quota::server_limit::{SERVER_LIMIT_BOUNDS, server_limit};
-use quota_world::cuts::{cut_a_third, isolate_a_third};
-use quota_world::equal::EqualShares;
-use quota_world::policy::SimulatedPolicy;
+use quota_world::equal_shares::EqualSharesPolicy;
+use quota_world::partitions::{isolate_every_third_node, isolate_zone};
+use quota_world::simulated_policy::SimulatedPolicy;
 use quota_world::tenants::{Outcome, SimulatedTenant};
-use quota_world::{QuotaWorld, WARM, seeds};
+use quota_world::{QuotaWorld, WARM_UP_SECONDS, seed_count};
 
 /// Simulated seconds after the warm-up.
 const SIMULATED_SECONDS: u64 = 20;
@@ -43,7 +43,7 @@
     let server = |(index, per_second): (usize, &f64)| SimulatedTenant {
         key: QuotaKey::of(&format!("server-{index}")),
         limit: server_limit(*per_second, 1),
-        sends: vec![(0, DEMAND / per_second)],
+        demand: vec![(0, DEMAND / per_second)],
     };
     LIMITS.iter().enumerate().map(server).collect()
 }
@@ -92,23 +92,28 @@
     inject_faults: impl Fn(&mut QuotaWorld<Policy>, u64),
 ) -> SimulationResult {
     let mut world = QuotaWorld::with_bounds(nodes, servers(), seed, SERVER_LIMIT_BOUNDS, vec![1.0]);
-    world.run_until(WARM);
-    world.open_to_callers();
+    world.run_until(WARM_UP_SECONDS);
+    world.start_traffic();
     for second in 0..SIMULATED_SECONDS {
         inject_faults(&mut world, second);
-        world.run_until(WARM + second + 1);
+        world.run_until(WARM_UP_SECONDS + second + 1);
     }
     let result = |(server, outcome): (&SimulatedTenant, &Outcome)| ServerResult {
         per_second: server.limit.limit.per_second,
-        most: outcome.most_in(WINDOW),
-        used: outcome.use_of(&server.limit.limit, WARM + MEASURED_FROM, WARM + SIMULATED_SECONDS),
+        most: outcome.peak_usage(WINDOW),
+        used: outcome.utilization(
+            &server.limit.limit,
+            WARM_UP_SECONDS + MEASURED_FROM,
+            WARM_UP_SECONDS + SIMULATED_SECONDS,
+        ),
     };
     let mut waits = world.waits.clone();
     waits.sort_unstable();
     let percentile = |percent: usize| waits[waits.len() * percent / 100] as f64 / 1000.0;
     SimulationResult {
         servers: world.tenants.iter().zip(&world.outcomes).map(result).collect(),
-        bytes: world.bytes as f64 / (nodes as u64 * (WARM + SIMULATED_SECONDS)) as f64,
+        bytes: world.sent_bytes as f64
+            / (nodes as u64 * (WARM_UP_SECONDS + SIMULATED_SECONDS)) as f64,
         waits: (percentile(50), percentile(99)),
     }
 }
@@ -125,7 +130,7 @@
 fn kill_all<Policy: SimulatedPolicy>(world: &mut QuotaWorld<Policy>, second: u64) {
     match second {
         2 => world.addresses().into_iter().for_each(|node| world.kill(node)),
-        3 => world.start(0..world.places()),
+        3 => world.start(0..world.started_count()),
         _ => {}
     }
 }
@@ -133,7 +138,7 @@
 /// Restarts one node after the other, two per second.
 fn rolling_restart<Policy: SimulatedPolicy>(world: &mut QuotaWorld<Policy>, second: u64) {
     for half in 0..2 {
-        let index = (2 * second + half) as usize % world.places();
+        let index = (2 * second + half) as usize % world.started_count();
         let node = world.address(index);
         world.kill(node);
         world.start(index..index + 1);
@@ -150,7 +155,7 @@
 
 #[test]
 fn limit_is_enforced_and_used_at_any_fleet_size() {
-    for seed in 1..=seeds(1) {
+    for seed in 1..=seed_count(1) {
         for nodes in [3, 6, 30, 90] {
             let result = simulate::<LendingPolicy>(nodes, seed, no_faults);
             assert_bound(&result, "no faults");
@@ -163,11 +168,11 @@
 
 #[test]
 fn limit_is_enforced_during_partitions_freezes_and_restarts() {
-    for seed in 1..=seeds(1) {
+    for seed in 1..=seed_count(1) {
         for nodes in [6, 30] {
-            assert_bound(&simulate::<LendingPolicy>(nodes, seed, cut_a_third), "partition");
+            assert_bound(&simulate::<LendingPolicy>(nodes, seed, isolate_zone), "partition");
             assert_bound(
-                &simulate::<LendingPolicy>(nodes, seed, isolate_a_third),
+                &simulate::<LendingPolicy>(nodes, seed, isolate_every_third_node),
                 "isolated nodes",
             );
             assert_bound(&simulate::<LendingPolicy>(nodes, seed, freeze_lenders), "lenders frozen");
@@ -184,8 +189,8 @@
     type InjectFaults<Policy> = fn(&mut QuotaWorld<Policy>, u64);
     let scenarios: [(&str, InjectFaults<Policy>); 6] = [
         ("no faults", no_faults),
-        ("partition of a third", cut_a_third),
-        ("a third isolated", isolate_a_third),
+        ("partition of a third", isolate_zone),
+        ("a third isolated", isolate_every_third_node),
         ("lenders frozen", freeze_lenders),
         ("all nodes killed", kill_all),
         ("rolling restart", rolling_restart),
@@ -193,7 +198,7 @@
     for (name, inject_faults) in scenarios {
         for nodes in [3, 6, 30, 90, 300] {
             let mut worst = simulate::<Policy>(nodes, 1, inject_faults);
-            for seed in 2..=seeds(1) {
+            for seed in 2..=seed_count(1) {
                 let result = simulate::<Policy>(nodes, seed, inject_faults);
                 for (worst, server) in worst.servers.iter_mut().zip(result.servers) {
                     worst.most = worst.most.max(server.most);
@@ -214,5 +219,5 @@
         "limits {LIMITS:?}: most in 4 s/allowed, least share used; bytes per node and second; waits"
     );
     print::<LendingPolicy>("lending");
-    print::<EqualShares>("equal shares");
+    print::<EqualSharesPolicy>("equal shares");
 }
