--- a/crates/cometmoor-gateway/src/forward/crash_check.rs
+++ b/crates/cometmoor-gateway/src/forward/crash_check.rs
@@ -95,13 +95,13 @@
 impl CrashCheck {
     async fn run(self) {
         let has_crashed = self.has_crashed().await;
-        let lost = self.server.take_interrupted();
+        let interrupted = self.server.take_interrupted();
         if has_crashed {
             self.metrics.server_crashes.inc();
-            lost.iter().for_each(|request| self.blame(request));
+            interrupted.iter().for_each(|request| self.blame(request));
             self.board.heartbeat_wanted.notify_one();
         }
-        lost.iter().for_each(|request| self.quarantine.end_crash_check(request.content));
+        interrupted.iter().for_each(|request| self.quarantine.end_crash_check(request.content));
         self.server.record_probe();
     }
 
@@ -122,10 +122,10 @@
         false
     }
 
-    fn blame(&self, lost: &InterruptedRequest) {
+    fn blame(&self, interrupted: &InterruptedRequest) {
         let incarnation = &*self.server.record().incarnation;
-        let (request, content) = (&*lost.request_id, lost.content.to_string());
-        match self.quarantine.note_crash(lost.content, server_key(incarnation)) {
+        let (request, content) = (&*interrupted.request_id, interrupted.content.to_string());
+        match self.quarantine.note_crash(interrupted.content, server_key(incarnation)) {
             CrashVerdict::Cleared => {
                 info!("[quarantine] a server crashed; the request is cleared as other servers answer it", kv: { request, content, server = incarnation });
             }
--- a/crates/cometmoor-gateway/tests/server_limits.rs
+++ b/crates/cometmoor-gateway/tests/server_limits.rs
@@ -31,7 +31,7 @@
 /// Requests per second that each server would receive if it had no limit.
 const DEMAND: f64 = 60.0;
 /// Share of a limit that has to be used when demand exceeds it.
-const MIN_USED_SHARE: f64 = 0.8;
+const MIN_UTILIZATION: f64 = 0.8;
 
 /// Requests that may reach a server in one window.
 fn max_in_window(per_second: f64) -> f64 {
@@ -52,10 +52,10 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct ServerResult {
     per_second: f64,
-    /// Most requests in any window.
-    most: f64,
+    /// Most requests that reached the server in any window.
+    peak_usage: f64,
     /// Share of the limit that was used.
-    used: f64,
+    utilization: f64,
 }
 
 struct SimulationResult {
@@ -74,9 +74,9 @@
             .map(|server| {
                 format!(
                     "{:.0}/{:.0} {:.2}",
-                    server.most,
+                    server.peak_usage,
                     max_in_window(server.per_second),
-                    server.used
+                    server.utilization
                 )
             })
             .collect();
@@ -100,8 +100,8 @@
     }
     let result = |(server, outcome): (&SimulatedTenant, &Outcome)| ServerResult {
         per_second: server.limit.limit.per_second,
-        most: outcome.peak_usage(WINDOW),
-        used: outcome.utilization(
+        peak_usage: outcome.peak_usage(WINDOW),
+        utilization: outcome.utilization(
             &server.limit.limit,
             WARM_UP_SECONDS + MEASURED_FROM,
             WARM_UP_SECONDS + SIMULATED_SECONDS,
@@ -149,7 +149,11 @@
 
 fn assert_bound(result: &SimulationResult, scenario: &str) {
     for server in &result.servers {
-        assert!(server.most <= max_in_window(server.per_second), "{scenario}: {}", result.line());
+        assert!(
+            server.peak_usage <= max_in_window(server.per_second),
+            "{scenario}: {}",
+            result.line()
+        );
     }
 }
 
@@ -160,7 +164,7 @@
             let result = simulate::<LendingPolicy>(nodes, seed, no_faults);
             assert_bound(&result, "no faults");
             for server in &result.servers {
-                assert!(server.used >= MIN_USED_SHARE, "{nodes} nodes: {}", result.line());
+                assert!(server.utilization >= MIN_UTILIZATION, "{nodes} nodes: {}", result.line());
             }
         }
     }
@@ -201,8 +205,8 @@
             for seed in 2..=seed_count(1) {
                 let result = simulate::<Policy>(nodes, seed, inject_faults);
                 for (worst, server) in worst.servers.iter_mut().zip(result.servers) {
-                    worst.most = worst.most.max(server.most);
-                    worst.used = worst.used.min(server.used);
+                    worst.peak_usage = worst.peak_usage.max(server.peak_usage);
+                    worst.utilization = worst.utilization.min(server.utilization);
                 }
             }
             eprintln!("{policy}, {name}, {nodes} nodes | {}", worst.line());
