--- a/crates/cometmoor-gateway/src/control/campaign.rs
+++ b/crates/cometmoor-gateway/src/control/campaign.rs
@@ -9,7 +9,7 @@
 use super::leader::Leader;
 use super::term::{LEADERSHIP_PREFIX, LeadershipKeys, Term, TermEnd, decode_last, encode_last};
 use crate::clock;
-use crate::dialect::{Commit, Committed};
+use crate::dialect::{Commit, CommitResult};
 use crate::mirror::MirroredItem;
 use crate::published::Phase;
 use crate::store::{InEra, StoreError};
@@ -122,15 +122,15 @@
     let puts =
         vec![(keys.holder.clone(), identity.into_bytes(), lease.id), (keys.last.clone(), last, 0)];
     let committed = store.commit(&Commit { conditions, puts }).await;
-    let is_of_one_era = |committed: &InEra<Committed>| committed.era == era && lease.era == era;
+    let is_of_one_era = |committed: &InEra<CommitResult>| committed.era == era && lease.era == era;
     match committed {
         Ok(committed) if !is_of_one_era(&committed) => None,
-        Ok(InEra { content: Committed::Done(revision), .. }) => {
+        Ok(InEra { content: CommitResult::Committed(revision), .. }) => {
             leader.acquired(era.fencing_token(revision), sent, predecessor);
             Some(Term { lease, keys, revision, has_noted_wait: has_waited })
         }
-        Ok(InEra { content: Committed::Conflict | Committed::LeaseOver, .. }) => {
-            let _ = store.end_lease(lease).await;
+        Ok(InEra { content: CommitResult::Conflict | CommitResult::LeaseExpired, .. }) => {
+            let _ = store.revoke_lease(lease).await;
             None
         }
         // Whether the keys were written is not known; the lease runs out.
--- a/crates/cometmoor-gateway/src/control/leader/calls.rs
+++ b/crates/cometmoor-gateway/src/control/leader/calls.rs
@@ -11,8 +11,8 @@
 use super::engine::{note_accepted, server_report};
 use super::{Leader, ORDER_TIMEOUT};
 use crate::clock;
-use crate::dialect::{EngineReport, ModelName, Order, OrderAnswer, OrderKind};
-use crate::http::client::{Answer, CallClient, CallError};
+use crate::dialect::{EngineReport, ModelName, Order, OrderKind, OrderResponse};
+use crate::http::client::{CallClient, CallError, Response};
 
 /// Time that a server takes to bring in an adapter.
 const ADAPTER_TAKES: Duration = Duration::from_millis(25);
@@ -54,9 +54,10 @@
 
     /// Takes that a server is leaving from its answer to a call. Whether it has a limit is told
     /// by answers to requests only.
-    fn note_leaving(&self, incarnation: &str, answer: Option<&Answer>) {
-        let facts = answer.map(|answer| self.context.dialect.answer_facts(&answer.head));
-        if facts.and_then(|facts| facts.signals).is_some_and(|signals| signals.is_leaving) {
+    fn note_leaving(&self, incarnation: &str, answer: Option<&Response>) {
+        let metadata = answer.map(|answer| self.context.dialect.response_metadata(&answer.head));
+        if metadata.and_then(|metadata| metadata.signals).is_some_and(|signals| signals.is_leaving)
+        {
             self.context.signals.note_leaving(incarnation, &self.context.settings.node);
         }
     }
@@ -117,7 +118,7 @@
         actix_rt::spawn(async move {
             let result =
                 leader.send_order(&client, &id, &server, &order, expected_count, token).await;
-            let accepted = matches!(result, Ok(OrderAnswer::Accepted));
+            let accepted = matches!(result, Ok(OrderResponse::Accepted));
             leader.take_order_answer(&id, &order, result, token);
             if accepted && order.loads_adapter() {
                 leader.context.plan_wanted.notify_one();
@@ -136,7 +137,7 @@
         order: &ServerOrder,
         expected_count: u64,
         token: u64,
-    ) -> Result<OrderAnswer, CallError> {
+    ) -> Result<OrderResponse, CallError> {
         let model = ModelName {
             model: order.weights.model.clone(),
             adapter: order.weights.adapter.clone(),
@@ -164,7 +165,7 @@
         &self,
         id: &Arc<str>,
         order: &ServerOrder,
-        result: Result<OrderAnswer, CallError>,
+        result: Result<OrderResponse, CallError>,
         token: u64,
     ) {
         let now = self.now();
@@ -174,22 +175,23 @@
         let Some(engine) = state.engines.get_mut(id) else { return };
         engine.calling = false;
         match result {
-            Ok(OrderAnswer::Accepted) => {
+            Ok(OrderResponse::Accepted) => {
                 engine.ledger.record_accepted(now);
                 note_accepted(engine, order, now);
                 if order.action == Action::Unload {
                     state.announcements.goes(id, &order.weights, now);
                 }
             }
-            Ok(OrderAnswer::AlreadyDone) => {
+            Ok(OrderResponse::AlreadyDone) => {
                 engine.ledger.record_already_done(now);
                 match order.action {
                     Action::Load => state.announcements.came(id, &order.weights, now),
                     Action::Unload => state.announcements.goes(id, &order.weights, now),
                 }
             }
-            Ok(OrderAnswer::OtherServer) => engine.replaced = true,
-            Ok(OrderAnswer::Conflict | OrderAnswer::Fenced | OrderAnswer::Refused(_)) | Err(_) => {
+            Ok(OrderResponse::OtherServer) => engine.replaced = true,
+            Ok(OrderResponse::Conflict | OrderResponse::Fenced | OrderResponse::Refused(_))
+            | Err(_) => {
                 engine.ledger.record_unknown_outcome();
             }
         }
@@ -199,7 +201,7 @@
 fn log_order(
     server: &str,
     order: &ServerOrder,
-    result: &Result<OrderAnswer, CallError>,
+    result: &Result<OrderResponse, CallError>,
     token: u64,
 ) {
     let action = format!("{:?}", order.action);
--- a/crates/cometmoor-gateway/src/control/quarantine.rs
+++ b/crates/cometmoor-gateway/src/control/quarantine.rs
@@ -18,7 +18,7 @@
 
 use super::ControlContext;
 use crate::clock;
-use crate::dialect::{Commit, Committed};
+use crate::dialect::{Commit, CommitResult};
 use crate::store::{StoreError, StoreLease};
 
 /// Prefix of the keys; the content's fingerprint follows, in hexadecimal.
@@ -102,7 +102,7 @@
             let lease = self.context.store.grant_lease(QUARANTINE_LIFETIME).await?;
             let puts = vec![(format!("{KEY_PREFIX}{content}"), b"quarantined".to_vec(), lease.id)];
             let commit = Commit { conditions: Vec::new(), puts };
-            if let Committed::Done(_) = self.context.store.commit(&commit).await?.content {
+            if let CommitResult::Committed(_) = self.context.store.commit(&commit).await?.content {
                 self.context.quarantine.note_stored(content);
                 self.leases.insert(content, lease);
             }
@@ -117,7 +117,7 @@
         let cleared: Vec<(Fingerprint, StoreLease)> =
             cleared.map(|(content, lease)| (*content, *lease)).collect();
         for (content, lease) in cleared {
-            self.context.store.end_lease(lease).await?;
+            self.context.store.revoke_lease(lease).await?;
             self.leases.remove(&content);
         }
         Ok(())
--- a/crates/cometmoor-gateway/src/control/term.rs
+++ b/crates/cometmoor-gateway/src/control/term.rs
@@ -9,7 +9,7 @@
 
 use super::leader::Leader;
 use crate::clock;
-use crate::dialect::{Commit, Committed};
+use crate::dialect::{Commit, CommitResult};
 use crate::peer::renew_via_peer;
 use crate::published::Phase;
 use crate::store::StoreLease;
@@ -92,7 +92,7 @@
             let _ = clock::timeout(renewal, eras.wait_for_new_era()).await;
             if context.board.fleet.load().phase != Phase::Ready {
                 leader.lost();
-                let _ = context.store.end_lease(self.lease).await;
+                let _ = context.store.revoke_lease(self.lease).await;
                 return TermEnd::Over;
             }
             if let Err(end) = self.renew_once(leader).await {
@@ -129,7 +129,7 @@
         let committed = leader.context().store.commit(&Commit { conditions, puts }).await;
         // A call without an answer is made again after the next renewal.
         self.has_noted_wait = committed.is_ok_and(|committed| {
-            matches!(committed.content, Committed::Done(_) | Committed::Conflict)
+            matches!(committed.content, CommitResult::Committed(_) | CommitResult::Conflict)
         });
     }
 }
--- a/crates/cometmoor-gateway/src/control/watcher.rs
+++ b/crates/cometmoor-gateway/src/control/watcher.rs
@@ -17,7 +17,7 @@
     GetTimeUntilRefresh, ReadCompleted, ReadPlan, StoreCallFailed,
 };
 use crate::clock;
-use crate::dialect::Watched;
+use crate::dialect::WatchResult;
 use crate::peer::StorePrefix;
 use crate::store::{PagedRead, StoreError};
 
@@ -234,12 +234,12 @@
     /// Handles the answer to a watch that began at `requested_at`. Returns the next step.
     async fn handle_watched(
         &self,
-        watched: Watched,
+        watched: WatchResult,
         after: StorePosition,
         requested_at: BootInstant,
     ) -> Result<Step, StoreError> {
         match watched {
-            Watched::Events(events) => {
+            WatchResult::Events(events) => {
                 let is_batched = self.prefix == StorePrefix::Servers && !events.is_empty();
                 let era = after.era;
                 self.fleet.do_send(ChangesReceived {
@@ -253,7 +253,7 @@
                 }
                 Ok(Step::Follow)
             }
-            Watched::Forgotten => {
+            WatchResult::Compacted => {
                 let (what, after) = (self.prefix.name(), after.to_string());
                 info!("[store] changes are no longer available; reading everything again", kv: { what, after });
                 Ok(Step::ReadAgain)
--- a/crates/cometmoor-gateway/src/dialect.rs
+++ b/crates/cometmoor-gateway/src/dialect.rs
@@ -10,8 +10,8 @@
 use cometmoor_core::gateway::signals::ResponseSignals;
 use cometmoor_core::keys::PresentedKey;
 
-use crate::http::client::{Answer, Call};
-use crate::http::head::{AnswerHead, Headers};
+use crate::http::client::{Call, Response};
+use crate::http::head::{Headers, ResponseHead};
 
 /// A message does not have the expected format.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 
 /// What the headers of a client's request tell.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// Identifier of the client's attempt.
     pub id: String,
     /// Key of the caller, as a digest.
@@ -62,21 +62,21 @@
     /// Most tokens of the answer.
     pub output_tokens: u64,
     /// Whether the client named its tokens.
-    pub names_tokens: bool,
+    pub declares_tokens: bool,
     /// Parts of the prompt, in order.
     pub parts: Vec<PromptPart>,
 }
 
-impl RequestFacts {
+impl RequestMetadata {
     /// Tokens of the prompt and of the longest answer, where the client named them.
     pub fn tokens(&self) -> Option<u64> {
-        self.names_tokens.then(|| self.prompt_tokens.saturating_add(self.output_tokens))
+        self.declares_tokens.then(|| self.prompt_tokens.saturating_add(self.output_tokens))
     }
 }
 
 /// What the gateway tells a server with a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SendFacts<'a> {
+pub struct SendMetadata<'a> {
     /// Incarnation that the request is meant for.
     pub server: &'a str,
     /// Time that is left for the answer.
@@ -93,7 +93,7 @@
 
 /// Asks a server to copy the memory of a run to another one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RunMove<'a> {
+pub struct RunMigration<'a> {
     /// Incarnation that runs the request.
     pub server: &'a str,
     /// Identifier of the request.
@@ -101,7 +101,7 @@
     /// Address of the server that gets the memory.
     pub target: SocketAddrV4,
     /// Whether the run stops, so that it can go on at the other server.
-    pub stops_run: bool,
+    pub stop_run: bool,
 }
 
 /// A copy of a run's memory that one request may go on from.
@@ -115,7 +115,7 @@
 
 /// What a server answered to a move of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RunMoveAnswer {
+pub enum RunMigrationResponse {
     /// The copy is at the other server; the source's name for it.
     Copied(String),
     /// There is no room at the other server, or no way there. A run that was
@@ -127,7 +127,7 @@
 
 /// Load that a server tells with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -138,7 +138,7 @@
 
 /// What the head of a server's answer tells.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AnswerFacts<'a> {
+pub struct ResponseMetadata<'a> {
     /// Identifier of the request that it answers.
     pub request_id: Option<&'a str>,
     /// The server says that it did not run the request.
@@ -147,7 +147,7 @@
     /// not there.
     pub misdirected: bool,
     /// Load of the server.
-    pub load: Option<ToldLoad>,
+    pub load: Option<ReportedLoad>,
     /// What it says of its server; nothing where that may be another server.
     pub signals: Option<ResponseSignals>,
 }
@@ -162,7 +162,7 @@
     /// Revision of its last change.
     pub revision: u64,
     /// Revision at which it was created.
-    pub created: u64,
+    pub create_revision: u64,
     /// Version that its writer gives it, which only rises; none where it gives none, or where
     /// the item cannot be read.
     pub version: Option<u64>,
@@ -176,16 +176,16 @@
     /// Whether there are more behind the last one.
     pub more: bool,
     /// Revision of the store.
-    pub at: u64,
+    pub revision: u64,
 }
 
 /// A change that a watch tells.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
     /// An item was written.
-    Written(Item),
+    Put(Item),
     /// A key is gone.
-    Gone {
+    Deleted {
         /// The key.
         key: String,
         /// Revision of the change.
@@ -197,19 +197,19 @@
     /// Revision of the change.
     pub fn revision(&self) -> u64 {
         match self {
-            WatchEvent::Written(item) => item.revision,
-            WatchEvent::Gone { revision, .. } => *revision,
+            WatchEvent::Put(item) => item.revision,
+            WatchEvent::Deleted { revision, .. } => *revision,
         }
     }
 }
 
 /// What a watch answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Watched {
+pub enum WatchResult {
     /// Changes in order; none where there were none while it waited.
     Events(Vec<WatchEvent>),
     /// The store has forgotten what came after the revision.
-    Forgotten,
+    Compacted,
 }
 
 /// Writes that are done all or not at all.
@@ -223,13 +223,13 @@
 
 /// What a commit answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Committed {
+pub enum CommitResult {
     /// Done at this revision.
-    Done(u64),
+    Committed(u64),
     /// A condition does not hold; nothing was done.
     Conflict,
     /// The lease is over; nothing was done.
-    LeaseOver,
+    LeaseExpired,
 }
 
 /// An order to a model server.
@@ -260,7 +260,7 @@
 
 /// What a server answered to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// It is being carried out.
     Accepted,
     /// There was nothing to do.
@@ -303,19 +303,19 @@
     /// Zone that a client names in its question for addresses.
     fn directory_zone<'a>(&self, head: &'a crate::http::head::RequestHead) -> Option<&'a str>;
     /// The answer to a client that asks for addresses.
-    fn directory_answer(&self, addresses: &[SocketAddrV4], lifetime: Duration) -> Vec<u8>;
+    fn directory_response(&self, addresses: &[SocketAddrV4], lifetime: Duration) -> Vec<u8>;
 
     /// Reads the headers of a client's request.
-    fn request_facts(&self, headers: &Headers) -> Result<RequestFacts, FormatError>;
+    fn request_metadata(&self, headers: &Headers) -> Result<RequestMetadata, FormatError>;
     /// Whether the gateway sets this header itself, so that a client's is left
     /// out.
-    fn sets_header(&self, name: &str, resumes: bool) -> bool;
+    fn overrides_header(&self, name: &str, resumes: bool) -> bool;
     /// Headers that go to the server with the request.
-    fn send_headers(&self, facts: &SendFacts<'_>) -> Vec<(&'static str, String)>;
+    fn send_headers(&self, metadata: &SendMetadata<'_>) -> Vec<(&'static str, String)>;
     /// Reads the head of a server's answer.
-    fn answer_facts<'a>(&self, head: &'a AnswerHead) -> AnswerFacts<'a>;
+    fn response_metadata<'a>(&self, head: &'a ResponseHead) -> ResponseMetadata<'a>;
     /// Header that tells a refused client when to come back.
-    fn come_back_header(&self, after: Duration) -> (&'static str, String);
+    fn retry_after_header(&self, after: Duration) -> (&'static str, String);
     /// Header of own answers that carries the request's identifier.
     fn request_id_header(&self) -> &'static str;
 
@@ -329,40 +329,40 @@
     fn parse_server(&self, key: &str, value: &[u8]) -> Result<ServerRecord, FormatError>;
 
     /// Number of the store's era, which comes with its answers; none where the answer has none.
-    fn store_era(&self, answer: &Answer) -> Result<Option<u32>, FormatError>;
+    fn store_era(&self, answer: &Response) -> Result<Option<u32>, FormatError>;
     /// Reads a range of keys; `after` is the last key of the page before.
     fn read_range(&self, prefix: &str, after: Option<&str>) -> Call;
     /// Reads the answer.
-    fn parse_range(&self, answer: &Answer) -> Result<Page, FormatError>;
+    fn parse_range(&self, answer: &Response) -> Result<Page, FormatError>;
     /// Waits for changes after a revision.
     fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Call;
     /// Reads the answer.
-    fn parse_watch(&self, answer: &Answer) -> Result<Watched, FormatError>;
+    fn parse_watch(&self, answer: &Response) -> Result<WatchResult, FormatError>;
     /// Writes under conditions.
     fn commit(&self, commit: &Commit) -> Call;
     /// Reads the answer.
-    fn parse_commit(&self, answer: &Answer) -> Result<Committed, FormatError>;
+    fn parse_commit(&self, answer: &Response) -> Result<CommitResult, FormatError>;
     /// Asks for a lease.
     fn grant_lease(&self, lifetime: Duration) -> Call;
     /// Reads the answer: the identifier of the lease.
-    fn parse_lease(&self, answer: &Answer) -> Result<u64, FormatError>;
+    fn parse_lease_grant(&self, answer: &Response) -> Result<u64, FormatError>;
     /// Renews a lease.
     fn renew_lease(&self, id: u64) -> Call;
     /// Reads the answer: whether the lease goes on.
-    fn parse_renewal(&self, answer: &Answer) -> Result<bool, FormatError>;
+    fn parse_lease_renewal(&self, answer: &Response) -> Result<bool, FormatError>;
     /// Gives a lease back.
-    fn end_lease(&self, id: u64) -> Call;
+    fn revoke_lease(&self, id: u64) -> Call;
 
     /// An order to a model server.
     fn order(&self, order: &Order<'_>) -> Call;
     /// Reads the answer.
-    fn parse_order(&self, answer: &Answer) -> OrderAnswer;
+    fn parse_order(&self, answer: &Response) -> OrderResponse;
     /// Asks a model server to copy a run's memory to another one.
-    fn move_run(&self, run_move: &RunMove<'_>) -> Call;
+    fn migrate_run(&self, run_migration: &RunMigration<'_>) -> Call;
     /// Reads the answer.
-    fn parse_run_move(&self, answer: &Answer) -> RunMoveAnswer;
+    fn parse_run_migration(&self, answer: &Response) -> RunMigrationResponse;
     /// Asks a model server for its state.
     fn report(&self, server: &str) -> Call;
     /// Reads the answer.
-    fn parse_report(&self, answer: &Answer) -> Result<EngineReport, FormatError>;
+    fn parse_report(&self, answer: &Response) -> Result<EngineReport, FormatError>;
 }
--- a/crates/cometmoor-gateway/src/forward/crash_check.rs
+++ b/crates/cometmoor-gateway/src/forward/crash_check.rs
@@ -43,7 +43,7 @@
         }
         self.traffic.quarantine.begin_crash_check(self.content);
         let request =
-            InterruptedRequest { content: self.content, request_id: self.facts.id.clone() };
+            InterruptedRequest { content: self.content, request_id: self.metadata.id.clone() };
         let is_first = server.record_interrupted(request);
         if is_first {
             let check = CrashCheck {
@@ -107,11 +107,11 @@
 
     async fn has_crashed(&self) -> bool {
         for _ in 0..MAX_PROBES {
-            match self.server.pool.probe().await {
+            match self.server.pool.connect().await {
                 Ok(stream) => {
                     self.server.record_probe();
                     clock::sleep(PROBE_OPEN_TIME).await;
-                    if self.server.pool.keep(stream) {
+                    if self.server.pool.release_if_open(stream) {
                         return false;
                     }
                 }
--- a/crates/cometmoor-gateway/src/forward/encode.rs
+++ b/crates/cometmoor-gateway/src/forward/encode.rs
@@ -1,7 +1,7 @@
 //! Encoding of requests to servers and of responses to clients.
 
-use crate::dialect::{Dialect, SendFacts};
-use crate::http::head::{AnswerHead, Framing, RequestHead};
+use crate::dialect::{Dialect, SendMetadata};
+use crate::http::head::{Framing, RequestHead, ResponseHead};
 
 const CONTENT_LENGTH: &str = "content-length";
 const EXPECT: &str = "expect";
@@ -29,20 +29,20 @@
     dialect: &dyn Dialect,
     head: &RequestHead,
     body: &[u8],
-    facts: &SendFacts<'_>,
+    metadata: &SendMetadata<'_>,
 ) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(1024 + body.len());
     bytes.extend_from_slice(format!("{} {} HTTP/1.1\r\n", head.method, head.target).as_bytes());
-    let is_resumed = facts.resume_after.is_some();
+    let is_resumed = metadata.resume_after.is_some();
     for (name, value) in head.headers.end_to_end() {
-        let is_replaced = dialect.sets_header(name, is_resumed)
+        let is_replaced = dialect.overrides_header(name, is_resumed)
             || name.eq_ignore_ascii_case(CONTENT_LENGTH)
             || name.eq_ignore_ascii_case(EXPECT);
         if !is_replaced {
             push_header(&mut bytes, name, value);
         }
     }
-    for (name, value) in dialect.send_headers(facts) {
+    for (name, value) in dialect.send_headers(metadata) {
         push_header(&mut bytes, name, value.as_bytes());
     }
     if head.framing != Framing::Empty || head.headers.contains(CONTENT_LENGTH) {
@@ -55,7 +55,7 @@
 
 /// Encodes the head of a server's response for the client. Without a framing, the server's
 /// `Content-Length` is kept.
-pub fn response_head(head: &AnswerHead, framing: Option<BodyFraming>, keep: bool) -> Vec<u8> {
+pub fn response_head(head: &ResponseHead, framing: Option<BodyFraming>, keep: bool) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(512);
     bytes.extend_from_slice(format!("HTTP/1.1 {} {}\r\n", head.status, head.reason).as_bytes());
     for (name, value) in head.headers.end_to_end() {
@@ -78,7 +78,12 @@
 }
 
 /// Encodes a complete response.
-pub fn full_response(head: &AnswerHead, body: &[u8], to_head_request: bool, keep: bool) -> Vec<u8> {
+pub fn full_response(
+    head: &ResponseHead,
+    body: &[u8],
+    to_head_request: bool,
+    keep: bool,
+) -> Vec<u8> {
     let has_no_body = to_head_request || head.status == 204 || head.status == 304;
     let framing = (!has_no_body).then_some(BodyFraming::Length(body.len() as u64));
     let mut bytes = response_head(head, framing, keep);
--- a/crates/cometmoor-gateway/src/forward/exchange.rs
+++ b/crates/cometmoor-gateway/src/forward/exchange.rs
@@ -12,11 +12,11 @@
 
 use super::{ForwardedRequest, encode};
 use crate::clock;
-use crate::dialect::{RunCopy, SendFacts};
+use crate::dialect::{RunCopy, SendMetadata};
 use crate::http::body::BodyDecoder;
 use crate::http::connection::read_some;
-use crate::http::head::{AnswerHead, take_answer};
-use crate::pool::{Lent, Pool};
+use crate::http::head::{ResponseHead, parse_response_head};
+use crate::pool::{Pool, PooledConnection};
 use crate::servers::Server;
 
 /// Largest head of a server's response, in bytes.
@@ -56,7 +56,7 @@
 /// A server's response whose head was read.
 pub struct ServerResponse {
     /// Head of the response.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// Decoder of the body.
     pub decoder: BodyDecoder,
     /// Bytes that were read and not decoded.
@@ -81,7 +81,7 @@
             && is_clean
             && self.head.keeps_connection
         {
-            pool.give_back(stream, self.head.headers.keep_alive_seconds());
+            pool.release(stream, self.head.headers.keep_alive_seconds());
         }
         self
     }
@@ -123,21 +123,21 @@
         &self,
         server: &Rc<Server>,
         record: &Arc<ServerRecord>,
-        connection: Lent,
+        connection: PooledConnection,
         resume_after: Option<&str>,
         run_copy: Option<&RunCopy>,
     ) -> Result<ServerResponse, SendError> {
         let tenant = self.tenant_name();
-        let facts = SendFacts {
+        let metadata = SendMetadata {
             server: &record.id,
             time_left: self.time_left(),
-            urgency: self.facts.model.as_ref().map(|_| self.priority()),
+            urgency: self.metadata.model.as_ref().map(|_| self.priority()),
             tenant: tenant.as_deref(),
             resume_after,
             run_copy,
         };
         let dialect = &*self.traffic.dialect;
-        let bytes = encode::request(dialect, self.head, self.body, &facts);
+        let bytes = encode::request(dialect, self.head, self.body, &metadata);
         let sent_at = clock::now();
         let mut response =
             send_and_read(connection.stream, &bytes, self.head.method == "HEAD").await?;
@@ -166,17 +166,17 @@
         response: &ServerResponse,
         sent_at: BootInstant,
     ) {
-        let facts = self.traffic.dialect.answer_facts(&response.head);
-        let Some(signals) = facts.signals else { return };
+        let metadata = self.traffic.dialect.response_metadata(&response.head);
+        let Some(signals) = metadata.signals else { return };
         let board = &self.traffic.signals;
-        if board.note_response(&record.incarnation, &self.facts.id, signals, sent_at) {
+        if board.note_response(&record.incarnation, &self.metadata.id, signals, sent_at) {
             self.traffic.board.heartbeat_wanted.notify_one();
         }
     }
 
     fn is_for_this_request(&self, response: &ServerResponse) -> bool {
-        let facts = self.traffic.dialect.answer_facts(&response.head);
-        facts.request_id.unwrap_or_default() == self.facts.id
+        let metadata = self.traffic.dialect.response_metadata(&response.head);
+        metadata.request_id.unwrap_or_default() == self.metadata.id
     }
 }
 
@@ -203,7 +203,7 @@
                         let error = io::ErrorKind::UnexpectedEof.into();
                         return Err(classify_error(error, written.get()));
                     }
-                    let head = take_answer(&mut buffer, MAX_HEAD_BYTES, to_head_request);
+                    let head = parse_response_head(&mut buffer, MAX_HEAD_BYTES, to_head_request);
                     if let Some(head) =
                         head.map_err(|_| SendError::ConnectionLost(invalid_data()))?
                     {
@@ -242,7 +242,7 @@
 ) -> io::Result<ServerResponse> {
     response.discard_body().await?;
     loop {
-        let head = take_answer(&mut response.buffer, MAX_HEAD_BYTES, to_head_request);
+        let head = parse_response_head(&mut response.buffer, MAX_HEAD_BYTES, to_head_request);
         if let Some(head) = head.map_err(|_| invalid_data())? {
             response.decoder = BodyDecoder::new(head.framing);
             response.head = head;
--- a/crates/cometmoor-gateway/src/forward/logging.rs
+++ b/crates/cometmoor-gateway/src/forward/logging.rs
@@ -9,22 +9,22 @@
 use super::outcome::Refusal;
 use super::relay::EventIntervals;
 use crate::clock;
-use crate::dialect::RunMoveAnswer;
+use crate::dialect::RunMigrationResponse;
 use crate::metrics::StateLabels;
 
 impl ForwardedRequest<'_> {
     pub(super) fn log_sent(&self, server: &str, reused: bool) {
-        if !crate::log::may_tell_good() {
+        if !crate::log::allow_success_line() {
             return;
         }
         let estimate = self.estimate.get();
         info!("[forward] sent", kv: {
-            request = &*self.facts.id,
+            request = &*self.metadata.id,
             content = self.content.to_string(),
             route = &*self.route.name,
             tenant = self.tenant_label(),
-            tokens = self.facts.tokens().unwrap_or_default(),
-            model = self.facts.model.as_ref().map_or("-", |model| &*model.model),
+            tokens = self.metadata.tokens().unwrap_or_default(),
+            model = self.metadata.model.as_ref().map_or("-", |model| &*model.model),
             server,
             reused,
             sends = self.attempts.get().sends(),
@@ -41,11 +41,11 @@
 
     /// Logs that a selected server is on hold and gets nothing from this node now.
     pub(super) fn log_on_hold(&self, server: &str, hold: Hold) {
-        if !crate::log::may_tell_good() {
+        if !crate::log::allow_success_line() {
             return;
         }
         info!("[forward] the selected server is on hold", kv: {
-            request = &*self.facts.id,
+            request = &*self.metadata.id,
             route = &*self.route.name,
             server,
             reason = hold.name(),
@@ -59,7 +59,7 @@
             return;
         }
         info!("[forward] answered", kv: {
-            request = &*self.facts.id,
+            request = &*self.metadata.id,
             route = &*self.route.name,
             server,
             status,
@@ -74,11 +74,11 @@
             return;
         }
         info!("[forward] answered", kv: {
-            request = &*self.facts.id,
+            request = &*self.metadata.id,
             route = &*self.route.name,
             server,
             expected_millis = self.estimate.get().expected_millis,
-            output_tokens = self.facts.output_tokens,
+            output_tokens = self.metadata.output_tokens,
             first_event_millis = intervals.time_to_first.as_millis() as u64,
             longest_pause_millis = intervals.longest.as_millis() as u64,
             age_millis = clock::elapsed(self.received_at).as_millis() as u64,
@@ -86,17 +86,23 @@
     }
 
     /// Logs and counts a run that was stopped to continue on another server, by the result.
-    pub(super) fn log_migration(&self, from: &str, to: &str, reason: &str, answer: &RunMoveAnswer) {
+    pub(super) fn log_migration(
+        &self,
+        from: &str,
+        to: &str,
+        reason: &str,
+        answer: &RunMigrationResponse,
+    ) {
         let outcome = match answer {
-            RunMoveAnswer::Copied(_) => "moved",
-            RunMoveAnswer::NoRoom(_) => "no room",
-            RunMoveAnswer::NotMoved(_) => "not moved",
+            RunMigrationResponse::Copied(_) => "moved",
+            RunMigrationResponse::NoRoom(_) => "no room",
+            RunMigrationResponse::NotMoved(_) => "not moved",
         };
         self.traffic.metrics.run_moves.get_or_create(&StateLabels { state: outcome }).inc();
         info!("[forward] run migration ended", kv: {
-            request = &*self.facts.id,
+            request = &*self.metadata.id,
             route = &*self.route.name,
-            model = self.facts.model.as_ref().map_or("-", |model| &*model.model),
+            model = self.metadata.model.as_ref().map_or("-", |model| &*model.model),
             from,
             to,
             reason,
@@ -109,13 +115,13 @@
     fn record_completion(&self) -> bool {
         self.record_end("answered", "server", "-");
         self.traffic.metrics.observe(&self.traffic.metrics.whole, clock::elapsed(self.received_at));
-        crate::log::may_tell_good()
+        crate::log::allow_success_line()
     }
 
     /// Logs a refusal with the estimate that it is based on: that of the best server if
     /// servers hold the model. `candidates` is 0 if none does.
     pub(super) fn log_refusal(&self, refusal: Refusal, retry_after: Duration) {
-        if refusal == Refusal::OverLimit && !crate::log::may_tell_over_limit() {
+        if refusal == Refusal::OverLimit && !crate::log::allow_over_limit_line() {
             return;
         }
         let reason = refusal.name();
@@ -123,16 +129,16 @@
         let version = fleet.configuration.as_ref().map_or(0, |known| known.version);
         let estimate = self.estimate.get();
         warn!("[forward] refused", kv: {
-            request = &*self.facts.id,
+            request = &*self.metadata.id,
             content = self.content.to_string(),
             route = &*self.route.name,
             tenant = self.tenant_label(),
-            tokens = self.facts.tokens().unwrap_or_default(),
+            tokens = self.metadata.tokens().unwrap_or_default(),
             step = refusal.step(),
             reason,
             sends = self.attempts.get().sends(),
             age_millis = clock::elapsed(self.received_at).as_millis() as u64,
-            model = self.facts.model.as_ref().map_or("-", |model| &*model.model),
+            model = self.metadata.model.as_ref().map_or("-", |model| &*model.model),
             expected_millis = estimate.expected_millis,
             in_flight = estimate.in_flight,
             backlog_millis = estimate.backlog_millis,
@@ -148,7 +154,7 @@
         let fleet = self.traffic.board.fleet.load();
         let version = fleet.configuration.as_ref().map_or(0, |known| known.version);
         warn!("[forward] {what}", kv: {
-            request = &*self.facts.id,
+            request = &*self.metadata.id,
             content = self.content.to_string(),
             route = &*self.route.name,
             step,
@@ -156,7 +162,7 @@
             reason,
             sends = self.attempts.get().sends(),
             age_millis = clock::elapsed(self.received_at).as_millis() as u64,
-            model = self.facts.model.as_ref().map_or("-", |model| &*model.model),
+            model = self.metadata.model.as_ref().map_or("-", |model| &*model.model),
             configuration = version,
             servers = fleet.servers.len() as u64,
         });
--- a/crates/cometmoor-gateway/src/forward/migration.rs
+++ b/crates/cometmoor-gateway/src/forward/migration.rs
@@ -19,7 +19,7 @@
 use super::ForwardedRequest;
 use super::exchange::ServerResponse;
 use crate::clock;
-use crate::dialect::{RunCopy, RunMove, RunMoveAnswer};
+use crate::dialect::{RunCopy, RunMigration, RunMigrationResponse};
 use crate::load::{PendingPrefill, model_key, server_key};
 use crate::servers::Server;
 
@@ -121,7 +121,7 @@
 
 impl ForwardedRequest<'_> {
     fn migration_reason(&self, source: &Server) -> Option<MigrationReason> {
-        let model = self.facts.model.as_ref()?;
+        let model = self.metadata.model.as_ref()?;
         if !self.traffic.settings.mechanisms.run_migration {
             return None;
         }
@@ -172,39 +172,39 @@
     ) -> Option<Continuation> {
         let target_id = target.record().incarnation.clone();
         let _slot = self.traffic.loads.add_in_flight(&target_id, PendingPrefill::default());
-        let RunMoveAnswer::Copied(_) = self.copy_run(source, &target, false).await? else {
+        let RunMigrationResponse::Copied(_) = self.copy_run(source, &target, false).await? else {
             return None;
         };
         let moved = self.copy_run(source, &target, true).await?;
         self.log_migration(&source.record().incarnation, &target_id, reason.name(), &moved);
         let (server, handle) = match moved {
-            RunMoveAnswer::Copied(handle) => (target, handle),
-            RunMoveAnswer::NoRoom(handle) => (source.clone(), handle?),
-            RunMoveAnswer::NotMoved(_) => return None,
+            RunMigrationResponse::Copied(handle) => (target, handle),
+            RunMigrationResponse::NoRoom(handle) => (source.clone(), handle?),
+            RunMigrationResponse::NotMoved(_) => return None,
         };
         let copy = RunCopy { source: source.record().address, handle };
         Some(Continuation { server, copy })
     }
 
-    /// Copies the memory of the run, and stops the run if `stops_run` is set. `None` if the call
+    /// Copies the memory of the run, and stops the run if `stop_run` is set. `None` if the call
     /// failed, so that its effect is unknown.
     async fn copy_run(
         &self,
         source: &Server,
         target: &Server,
-        stops_run: bool,
-    ) -> Option<RunMoveAnswer> {
+        stop_run: bool,
+    ) -> Option<RunMigrationResponse> {
         let record = source.record();
-        let call = self.traffic.dialect.move_run(&RunMove {
+        let call = self.traffic.dialect.migrate_run(&RunMigration {
             server: &record.id,
-            request: &self.facts.id,
+            request: &self.metadata.id,
             target: target.record().address,
-            stops_run,
+            stop_run,
         });
         match source.call_client.call(&call, COPY_TIMEOUT).await {
             Ok(answer) => {
-                let answer = self.traffic.dialect.parse_run_move(&answer);
-                if !matches!(answer, RunMoveAnswer::Copied(_)) {
+                let answer = self.traffic.dialect.parse_run_migration(&answer);
+                if !matches!(answer, RunMigrationResponse::Copied(_)) {
                     let reason = format!("{answer:?}");
                     self.log_failure("run migration failed", "move", &record.incarnation, &reason);
                 }
--- a/crates/cometmoor-gateway/src/forward/mod.rs
+++ b/crates/cometmoor-gateway/src/forward/mod.rs
@@ -41,7 +41,7 @@
 pub use self::tenant::{Admitted, check_access};
 pub use self::traffic::TrafficContext;
 use crate::clock;
-use crate::dialect::RequestFacts;
+use crate::dialect::RequestMetadata;
 use crate::fingerprint::fingerprint;
 use crate::http::head::RequestHead;
 use crate::published::Phase;
@@ -71,7 +71,7 @@
     /// Body of the request.
     pub body: &'a Bytes,
     /// Values of the headers that the gateway reads.
-    pub facts: RequestFacts,
+    pub metadata: RequestMetadata,
     /// Identifies the request when it is retried, whatever its attempt identifier.
     pub content: Fingerprint,
     /// The route that it matched.
@@ -109,7 +109,7 @@
         client: &'a TcpStream,
         head: &'a RequestHead,
         body: &'a Bytes,
-        facts: RequestFacts,
+        metadata: RequestMetadata,
         admitted: Admitted,
         received_at: BootInstant,
     ) -> ForwardedRequest<'a> {
@@ -120,7 +120,7 @@
             client,
             head,
             body,
-            facts,
+            metadata,
             content: fingerprint(head, body),
             route,
             tenant: RefCell::new(tenant),
@@ -135,7 +135,7 @@
 
     /// When the client must have its response, at most an hour after the request.
     fn deadline(&self) -> BootInstant {
-        let deadline = self.facts.deadline.unwrap_or(Duration::MAX).min(self.route.timeout);
+        let deadline = self.metadata.deadline.unwrap_or(Duration::MAX).min(self.route.timeout);
         self.received_at + deadline.min(Duration::from_secs(3600))
     }
 
@@ -264,7 +264,7 @@
                 }
                 SendOutcome::NotRun { status, misdirected } => {
                     let id = &*record.incarnation;
-                    let request = &*self.facts.id;
+                    let request = &*self.metadata.id;
                     info!("[forward] the server did not run the request", kv: { request, server = id, status, misdirected });
                     if !self.may_retry(service, &server, SendFailure::NotRun).await {
                         let refusal = Refusal::ServerRefused;
@@ -409,13 +409,13 @@
     }
 
     fn client_time_left(&self) -> Duration {
-        let deadline = self.facts.deadline.unwrap_or(self.route.timeout);
+        let deadline = self.metadata.deadline.unwrap_or(self.route.timeout);
         (self.received_at + deadline).since(clock::now())
     }
 
     async fn respond(&self, response: LocalResponse) -> ConnectionAction {
         let keep = self.keeps_connection();
-        let bytes = response.encode(&*self.traffic.dialect, &self.facts.id, keep);
+        let bytes = response.encode(&*self.traffic.dialect, &self.metadata.id, keep);
         self.write_response(&bytes, keep).await
     }
 }
--- a/crates/cometmoor-gateway/src/forward/outcome.rs
+++ b/crates/cometmoor-gateway/src/forward/outcome.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::dialect::Dialect;
-use crate::ready::reason;
+use crate::http_server::reason_phrase;
 
 /// What happens to the client's connection after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -137,12 +137,12 @@
     /// Encodes the response. `request` is the identifier of the request; empty if unknown.
     pub fn encode(&self, dialect: &dyn Dialect, request: &str, keep: bool) -> Vec<u8> {
         let body = format!("{{\"outcome\":\"{}\"}}", self.outcome);
-        let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
+        let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         if !request.is_empty() {
             head.push_str(&format!("{}: {request}\r\n", dialect.request_id_header()));
         }
         if let Some(after) = self.retry_after {
-            let (name, value) = dialect.come_back_header(after);
+            let (name, value) = dialect.retry_after_header(after);
             head.push_str(&format!("{name}: {value}\r\n"));
         }
         if self.close || !keep {
--- a/crates/cometmoor-gateway/src/forward/relay.rs
+++ b/crates/cometmoor-gateway/src/forward/relay.rs
@@ -113,7 +113,7 @@
     match response.head.framing {
         Framing::Length(length) => (BodyFraming::Length(length), keep),
         Framing::Empty => (BodyFraming::Length(0), keep),
-        Framing::Chunked | Framing::UntilClose if request.head.one_one => {
+        Framing::Chunked | Framing::UntilClose if request.head.is_http_1_1 => {
             (BodyFraming::Chunked, keep)
         }
         Framing::Chunked | Framing::UntilClose => (BodyFraming::UntilClose, false),
@@ -184,9 +184,13 @@
     fn record(&mut self, request: &ForwardedRequest<'_>) {
         self.guard.record_first_event();
         let Some(sent_at) = self.sent_at.take() else { return };
-        let Some(model) = &request.facts.model else { return };
-        let mut paces = request.traffic.paces.borrow_mut();
-        paces.record(&model.model, request.facts.prompt_tokens, clock::elapsed(sent_at));
+        let Some(model) = &request.metadata.model else { return };
+        let mut latencies = request.traffic.latencies.borrow_mut();
+        latencies.record_prefill(
+            &model.model,
+            request.metadata.prompt_tokens,
+            clock::elapsed(sent_at),
+        );
     }
 }
 
--- a/crates/cometmoor-gateway/src/forward/send.rs
+++ b/crates/cometmoor-gateway/src/forward/send.rs
@@ -73,7 +73,7 @@
             None => match self.acquire_send_permit(server).await {
                 Ok(permit) => Some(permit),
                 Err(hold) => {
-                    server.pool.keep(connection.stream);
+                    server.pool.release_if_open(connection.stream);
                     return SendOutcome::OnHold(hold);
                 }
             },
@@ -126,9 +126,9 @@
         self.traffic
             .metrics
             .observe(&self.traffic.metrics.first_byte, clock::elapsed(self.received_at));
-        let facts = self.traffic.dialect.answer_facts(&response.head);
-        if facts.not_run {
-            let (status, misdirected) = (response.head.status, facts.misdirected);
+        let metadata = self.traffic.dialect.response_metadata(&response.head);
+        if metadata.not_run {
+            let (status, misdirected) = (response.head.status, metadata.misdirected);
             self.record_rejection(server, misdirected);
             let _ = response.discard(&server.pool).await;
             record_attempt(Attempts::record_not_run);
@@ -145,12 +145,12 @@
 
     /// Prefill work that the request adds to the queue of a server.
     fn pending_prefill(&self) -> PendingPrefill {
-        PendingPrefill::of(self.prefill_time(self.facts.prompt_tokens), self.priority())
+        PendingPrefill::of(self.prefill_time(self.metadata.prompt_tokens), self.priority())
     }
 
     fn record_rejection(&self, server: &Server, misdirected: bool) {
         let now = clock::now();
-        match (&self.facts.model, misdirected) {
+        match (&self.metadata.model, misdirected) {
             (Some(model), true) => server.record_missing(model, now),
             (None, true) => server.mark_replaced(),
             (_, false) => server.record_rejection(now),
@@ -159,10 +159,10 @@
 
     /// Records for how long a stream of the model has held a slot.
     fn record_stream_duration(&self, intervals: &EventIntervals) {
-        let Some(model) = &self.facts.model else { return };
+        let Some(model) = &self.metadata.model else { return };
         let running = clock::elapsed(self.received_at).saturating_sub(intervals.time_to_first);
-        let mut paces = self.traffic.paces.borrow_mut();
-        paces.record_stream(&model.model, self.facts.output_tokens, running);
+        let mut latencies = self.traffic.latencies.borrow_mut();
+        latencies.record_generation(&model.model, self.metadata.output_tokens, running);
     }
 
     async fn relay_stream(
--- a/crates/cometmoor-gateway/src/forward/server_selection.rs
+++ b/crates/cometmoor-gateway/src/forward/server_selection.rs
@@ -100,7 +100,7 @@
 
     /// Reports to the node that orders the servers that a request waits for weights.
     fn report_wait(&self) {
-        let Some(model) = &self.facts.model else { return };
+        let Some(model) = &self.metadata.model else { return };
         let key = model_key(&model.model, model.adapter.as_deref());
         self.traffic.loads.record_wait(key, clock::now());
         self.traffic.board.heartbeat_wanted.notify_one();
@@ -193,7 +193,7 @@
     fn hash_share(&self, server: &str) -> f64 {
         let mut hash = Xxh3::new();
         hash.update(server.as_bytes());
-        hash.update(self.facts.id.as_bytes());
+        hash.update(self.metadata.id.as_bytes());
         hash.digest() as f64 / u64::MAX as f64
     }
 
@@ -203,7 +203,7 @@
         placement: &PlacementView,
         now: BootInstant,
     ) -> Refusal {
-        let Some(model) = &self.facts.model else { return Refusal::NoServer };
+        let Some(model) = &self.metadata.model else { return Refusal::NoServer };
         let base = ModelName { model: model.model.clone(), adapter: None };
         let holds =
             |server: &Rc<Server>| server.accepts_requests() && server.holds(&base, placement, now);
@@ -228,11 +228,11 @@
     }
 
     fn is_eligible(&self, server: &Server, placement: &PlacementView, now: BootInstant) -> bool {
-        self.facts.model.as_ref().is_none_or(|model| server.holds(model, placement, now))
+        self.metadata.model.as_ref().is_none_or(|model| server.holds(model, placement, now))
     }
 
     pub(super) fn cost_model(&self) -> &'static CostModel {
-        match self.facts.model {
+        match self.metadata.model {
             Some(_) => &CostModel::ENGINE,
             None => &CostModel::PLAIN,
         }
@@ -255,20 +255,20 @@
             unreported_millis: if is_large_fleet { UNREPORTED_WORK_MILLIS } else { 0.0 },
             event_interval_limit_millis: event_interval_limit
                 .map(|limit| limit.as_secs_f64() * 1000.0),
-            prefill_millis: self.prefill_time(self.facts.prompt_tokens).as_secs_f64() * 1000.0,
+            prefill_millis: self.prefill_time(self.metadata.prompt_tokens).as_secs_f64() * 1000.0,
             shared_prefix_millis: self.prefill_time(shared).as_secs_f64() * 1000.0,
         }
     }
 
     /// Prefill time of a number of prompt tokens; zero if the request names no model.
     pub(super) fn prefill_time(&self, tokens: u64) -> Duration {
-        let Some(model) = &self.facts.model else { return Duration::ZERO };
-        self.traffic.paces.borrow().work(&model.model, tokens)
+        let Some(model) = &self.metadata.model else { return Duration::ZERO };
+        self.traffic.latencies.borrow().prefill_time(&model.model, tokens)
     }
 
     /// The leading parts of the prompt, without the last one, which is the request's own.
     fn shared_prefix(&self) -> &[crate::dialect::PromptPart] {
-        match self.facts.parts.split_last() {
+        match self.metadata.parts.split_last() {
             Some((_, shared)) => shared,
             None => &[],
         }
@@ -296,12 +296,12 @@
     fn affinity(&self, server: &str) -> u64 {
         let mut hash = Xxh3::new();
         hash.update(server.as_bytes());
-        let model = self.facts.model.as_ref();
+        let model = self.metadata.model.as_ref();
         let has_affinity = self.traffic.settings.mechanisms.prompt_affinity;
         let Some(model) = model.filter(|_| has_affinity) else {
             // Ties are broken by a hash of the request: a server without a model caches nothing
             // of requests, and one that all nodes preferred would be full before the others.
-            hash.update(self.facts.id.as_bytes());
+            hash.update(self.metadata.id.as_bytes());
             return hash.digest();
         };
         hash.update(model.model.as_bytes());
--- a/crates/cometmoor-gateway/src/forward/tenant.rs
+++ b/crates/cometmoor-gateway/src/forward/tenant.rs
@@ -10,7 +10,7 @@
 use super::outcome::Refusal;
 use super::{ForwardedRequest, UNDECIDED_RETRY_AFTER};
 use crate::clock;
-use crate::dialect::RequestFacts;
+use crate::dialect::RequestMetadata;
 use crate::published::FleetSnapshot;
 
 /// Shortest retry delay for a request over its tenant's limit.
@@ -26,9 +26,9 @@
 }
 
 /// Decides by the active configuration whether the key of a request gives access to a route.
-pub fn check_access(fleet: &FleetSnapshot, route: &Route, facts: &RequestFacts) -> Access {
+pub fn check_access(fleet: &FleetSnapshot, route: &Route, metadata: &RequestMetadata) -> Access {
     let tenants = fleet.configuration.as_ref().and_then(|known| known.tenants.as_deref());
-    access(tenants, route, facts.key, fleet.key_freshness())
+    access(tenants, route, metadata.key, fleet.key_freshness())
 }
 
 impl ForwardedRequest<'_> {
@@ -37,7 +37,7 @@
     /// old.
     pub(super) fn check_key(&self) -> Result<(), Refusal> {
         let fleet = self.traffic.board.fleet.load();
-        match check_access(&fleet, &self.route, &self.facts) {
+        match check_access(&fleet, &self.route, &self.metadata) {
             Access::Granted(tenant) => {
                 self.tenant.replace(tenant);
                 Ok(())
@@ -55,7 +55,7 @@
             fleet.configuration.as_ref().map_or(0, |known| known.version)
         };
         let started = clock::now();
-        let decision = self.traffic.quota.acquire(&tenant, version, self.facts.tokens()).await;
+        let decision = self.traffic.quota.acquire(&tenant, version, self.metadata.tokens()).await;
         self.traffic.metrics.observe(&self.traffic.metrics.quota, clock::elapsed(started));
         match decision {
             Decision::Granted => {
@@ -74,7 +74,7 @@
         if self.attempts.get().is_known_not_run()
             && let Some(tenant) = self.charged_tenant.take()
         {
-            self.traffic.quota.refund(&tenant, self.facts.tokens());
+            self.traffic.quota.refund(&tenant, self.metadata.tokens());
         }
     }
 
--- a/crates/cometmoor-gateway/src/forward/traffic.rs
+++ b/crates/cometmoor-gateway/src/forward/traffic.rs
@@ -10,9 +10,9 @@
 
 use crate::clock;
 use crate::dialect::Dialect;
+use crate::latency::{LatencyEstimates, MAX_RUNNING_FOR_PREFILL_SAMPLE};
 use crate::load::{LoadBoard, server_key};
 use crate::metrics::Metrics;
-use crate::pace::{FEW_RUNNING, PaceTable};
 use crate::published::Board;
 use crate::quarantine::QuarantineBoard;
 use crate::quota::QuotaLimiter;
@@ -43,7 +43,7 @@
     /// Metrics of the node.
     pub metrics: Arc<Metrics>,
     /// Prefill and generation speed of each model.
-    pub paces: RefCell<PaceTable>,
+    pub latencies: RefCell<LatencyEstimates>,
 }
 
 impl TrafficContext {
@@ -71,7 +71,7 @@
             metrics,
             started_at: clock::now(),
             retry_budgets: RefCell::default(),
-            paces: RefCell::default(),
+            latencies: RefCell::default(),
         }
     }
 
@@ -103,7 +103,7 @@
         let remote = self.board.remote_load.load();
         let load = self.loads.server_load(server);
         let load = load.plus(remote.get(&server_key(server)).copied().unwrap_or_default());
-        load.pending.is_zero() && load.in_flight < FEW_RUNNING
+        load.pending.is_zero() && load.in_flight < MAX_RUNNING_FOR_PREFILL_SAMPLE
     }
 
     /// Consumes a retry of the service's budget, which the fleet shares; returns false if it is
--- a/crates/cometmoor-gateway/src/frontend.rs
+++ b/crates/cometmoor-gateway/src/frontend.rs
@@ -13,13 +13,13 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::clock;
-use crate::dialect::RequestFacts;
+use crate::dialect::RequestMetadata;
 use crate::forward::{
     Admitted, ConnectionAction, ForwardedRequest, LocalResponse, TrafficContext, check_access,
 };
 use crate::http::body::BodyDecoder;
-use crate::http::connection::{closed, prepare, read_some, write_all};
-use crate::http::head::{Framing, HeadError, RequestHead, take_request};
+use crate::http::connection::{read_some, set_socket_options, wait_for_close, write_all};
+use crate::http::head::{Framing, HeadError, RequestHead, parse_request_head};
 use crate::load::{RequestDemand, model_key};
 use crate::published::{FleetSnapshot, Phase, age_millis};
 
@@ -51,7 +51,7 @@
             warn!("[frontend] too many connections; one was closed", kv: { most = traffic.settings.max_connections as u64 });
             continue;
         }
-        if prepare(&stream).is_err() {
+        if set_socket_options(&stream).is_err() {
             continue;
         }
         let connection = Connection { stream, buffer: BytesMut::new(), traffic: traffic.clone() };
@@ -72,7 +72,7 @@
 /// A request that was read.
 struct Request {
     head: RequestHead,
-    facts: RequestFacts,
+    metadata: RequestMetadata,
     body: Bytes,
     received: BootInstant,
 }
@@ -81,7 +81,7 @@
 enum Read {
     Request(Box<Request>),
     /// Its key is nobody's; the body was not read.
-    Unauthorized(Box<RequestHead>, RequestFacts),
+    Unauthorized(Box<RequestHead>, RequestMetadata),
     Rejected(u16),
     Ended,
 }
@@ -99,8 +99,9 @@
                         return;
                     }
                 }
-                Read::Unauthorized(head, facts) => {
-                    if self.refuse_unauthorized(&head, &facts).await != ConnectionAction::KeepAlive
+                Read::Unauthorized(head, metadata) => {
+                    if self.refuse_unauthorized(&head, &metadata).await
+                        != ConnectionAction::KeepAlive
                     {
                         return self.linger().await;
                     }
@@ -134,14 +135,14 @@
             }
             Err(_) => return Read::Rejected(408),
         };
-        let Ok(facts) = self.traffic.dialect.request_facts(&head.headers) else {
+        let Ok(metadata) = self.traffic.dialect.request_metadata(&head.headers) else {
             return Read::Rejected(400);
         };
-        if is_unauthorized(&self.traffic, &head, &facts) {
-            return Read::Unauthorized(Box::new(head), facts);
+        if is_unauthorized(&self.traffic, &head, &metadata) {
+            return Read::Unauthorized(Box::new(head), metadata);
         }
         match clock::timeout(limits.idle_timeout, self.read_body(&head, limits)).await {
-            Ok(Ok(body)) => Read::Request(Box::new(Request { head, facts, body, received })),
+            Ok(Ok(body)) => Read::Request(Box::new(Request { head, metadata, body, received })),
             Ok(Err(Some(status))) => Read::Rejected(status),
             Ok(Err(None)) => Read::Ended,
             Err(_) => Read::Rejected(408),
@@ -150,7 +151,7 @@
 
     async fn read_head(&mut self, limits: &ClientLimits) -> Result<Option<RequestHead>, HeadError> {
         loop {
-            if let Some(head) = take_request(&mut self.buffer, limits.max_header_bytes)? {
+            if let Some(head) = parse_request_head(&mut self.buffer, limits.max_header_bytes)? {
                 return Ok(Some(head));
             }
             if !matches!(read_some(&self.stream, &mut self.buffer).await, Ok(read) if read > 0) {
@@ -203,7 +204,7 @@
         tokio::select! {
             biased;
             finish = serving => finish,
-            () = closed(&self.stream, &mut self.buffer, MAX_READ_AHEAD) => {
+            () = wait_for_close(&self.stream, &mut self.buffer, MAX_READ_AHEAD) => {
                 self.traffic.metrics.ended("client_left", "client", "-");
                 ConnectionAction::Abort
             }
@@ -225,13 +226,13 @@
     async fn refuse_unauthorized(
         &self,
         head: &RequestHead,
-        facts: &RequestFacts,
+        metadata: &RequestMetadata,
     ) -> ConnectionAction {
         self.traffic.metrics.ended("refused", "key", "no valid key");
-        if crate::log::may_tell_unauthorized() {
+        if crate::log::allow_unauthorized_line() {
             warn!("[frontend] a request without a valid key was refused", kv: {
-                request = &*facts.id,
-                key = key_form(&facts.key),
+                request = &*metadata.id,
+                key = key_form(&metadata.key),
                 step = "key",
                 status = 401,
                 configuration = self.configuration_version(),
@@ -239,7 +240,7 @@
             });
         }
         let keep = head.keeps_connection() && head.framing == Framing::Empty;
-        answer(&self.traffic, &self.stream, LocalResponse::unauthorized(), &facts.id, keep).await
+        answer(&self.traffic, &self.stream, LocalResponse::unauthorized(), &metadata.id, keep).await
     }
 
     fn configuration_version(&self) -> u64 {
@@ -276,42 +277,42 @@
     client: &TcpStream,
     request: Request,
 ) -> ConnectionAction {
-    let Request { head, facts, body, received } = request;
+    let Request { head, metadata, body, received } = request;
     let fleet = traffic.board.fleet.load_full();
     let keep = head.keeps_connection() && fleet.phase == Phase::Ready;
-    match decide(&fleet, &head, &facts) {
+    match decide(&fleet, &head, &metadata) {
         Decision::Answer(own) => {
             let version = fleet.configuration.as_ref().map_or(0, |known| known.version);
             traffic.metrics.ended("refused", "route", "no route, no key or not ready");
             warn!("[frontend] answered without a server", kv: {
-                request = &*facts.id,
+                request = &*metadata.id,
                 status = own.status(),
-                key = key_form(&facts.key),
+                key = key_form(&metadata.key),
                 phase = format!("{:?}", fleet.phase),
                 configuration = version,
                 proof_age_millis = age_millis(fleet.configuration_proven),
                 is_known_behind = fleet.is_known_behind,
             });
-            answer(traffic, client, own, &facts.id, keep).await
+            answer(traffic, client, own, &metadata.id, keep).await
         }
         Decision::Forward(admitted, service) => {
-            record_demand(traffic, &facts);
+            record_demand(traffic, &metadata);
             let forward =
-                ForwardedRequest::new(traffic, client, &head, &body, facts, admitted, received);
+                ForwardedRequest::new(traffic, client, &head, &body, metadata, admitted, received);
             forward.serve(&service).await
         }
     }
 }
 
 /// Notes what was asked for, for the placement of models.
-fn record_demand(traffic: &TrafficContext, facts: &RequestFacts) {
-    let Some(model) = &facts.model else { return };
+fn record_demand(traffic: &TrafficContext, metadata: &RequestMetadata) {
+    let Some(model) = &metadata.model else { return };
     let now = clock::now();
     let work = {
-        let paces = traffic.paces.borrow();
+        let latencies = traffic.latencies.borrow();
         RequestDemand {
-            prefill: paces.work(&model.model, facts.prompt_tokens),
-            slot_time: paces.running(&model.model, facts.output_tokens),
+            prefill: latencies.prefill_time(&model.model, metadata.prompt_tokens),
+            slot_time: latencies.slot_time(&model.model, metadata.output_tokens),
         }
     };
     traffic.loads.record_demand(model_key(&model.model, None), work, now);
@@ -321,15 +322,19 @@
 }
 
 /// Whether a request has a route that needs a key, and its key is nobody's.
-fn is_unauthorized(traffic: &TrafficContext, head: &RequestHead, facts: &RequestFacts) -> bool {
+fn is_unauthorized(
+    traffic: &TrafficContext,
+    head: &RequestHead,
+    metadata: &RequestMetadata,
+) -> bool {
     let fleet = traffic.board.fleet.load();
     let Some(configuration) = &fleet.configuration else { return false };
     let host = head.host().unwrap_or_default();
     let Some(route) = configuration.route(&host, head.path()) else { return false };
-    check_access(&fleet, route, facts) == Access::Denied
+    check_access(&fleet, route, metadata) == Access::Denied
 }
 
-fn decide(fleet: &FleetSnapshot, head: &RequestHead, facts: &RequestFacts) -> Decision {
+fn decide(fleet: &FleetSnapshot, head: &RequestHead, metadata: &RequestMetadata) -> Decision {
     let refusal = Decision::Answer(LocalResponse::not_run(COME_BACK));
     let Some(configuration) = &fleet.configuration else {
         return Decision::Answer(LocalResponse::not_run(COME_BACK_TO_STARTING));
@@ -342,12 +347,12 @@
         let unknown = fleet.configuration_is_current();
         return if unknown { Decision::Answer(LocalResponse::no_route()) } else { refusal };
     };
-    let tenant = match check_access(fleet, route, facts) {
+    let tenant = match check_access(fleet, route, metadata) {
         Access::Granted(tenant) => tenant,
         Access::Denied => return Decision::Answer(LocalResponse::unauthorized()),
         Access::Undecided => return refusal,
     };
-    if !finishes_in_time(fleet, route, facts) {
+    if !finishes_in_time(fleet, route, metadata) {
         return Decision::Answer(LocalResponse::not_run(COME_BACK_ELSEWHERE));
     }
     match route.target(rand::random()) {
@@ -368,14 +373,14 @@
 }
 
 /// Whether the request will be finished before a planned stop ends.
-fn finishes_in_time(fleet: &FleetSnapshot, route: &Route, facts: &RequestFacts) -> bool {
+fn finishes_in_time(fleet: &FleetSnapshot, route: &Route, metadata: &RequestMetadata) -> bool {
     let Some(stop) = fleet.shutdown else { return true };
     let now = clock::now();
     finishes_before_stop(
         now.since(stop.started),
         stop.deadline.since(now),
-        route.timeout.min(facts.deadline.unwrap_or(route.timeout)),
-        facts.output_tokens,
+        route.timeout.min(metadata.deadline.unwrap_or(route.timeout)),
+        metadata.output_tokens,
     )
 }
 
--- a/crates/cometmoor-gateway/src/http/client.rs
+++ b/crates/cometmoor-gateway/src/http/client.rs
@@ -10,8 +10,8 @@
 use tokio::net::TcpStream;
 
 use super::body::BodyDecoder;
-use super::connection::{connect, is_quiet, read_some, write_all};
-use super::head::{AnswerHead, take_answer};
+use super::connection::{connect, is_reusable, read_some, write_all};
+use super::head::{ResponseHead, parse_response_head};
 use crate::clock;
 
 /// Largest head of an answer, in bytes.
@@ -66,9 +66,9 @@
 
 /// An answer to a call.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Response {
     /// Its head.
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// Its whole body.
     pub body: Vec<u8>,
 }
@@ -79,14 +79,14 @@
     /// Nothing was sent.
     NotSent(io::Error),
     /// It was sent, and may have been carried out.
-    Unanswered(io::Error),
+    NoResponse(io::Error),
 }
 
 impl std::fmt::Display for CallError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             CallError::NotSent(error) => write!(formatter, "not sent: {error}"),
-            CallError::Unanswered(error) => write!(formatter, "sent and not answered: {error}"),
+            CallError::NoResponse(error) => write!(formatter, "sent and not answered: {error}"),
         }
     }
 }
@@ -109,7 +109,7 @@
     }
 
     /// Makes a call that has to be answered within the time.
-    pub async fn call(&self, call: &Call, within: Duration) -> Result<Answer, CallError> {
+    pub async fn call(&self, call: &Call, within: Duration) -> Result<Response, CallError> {
         self.call_if(call, within, || true).await
     }
 
@@ -120,7 +120,7 @@
         call: &Call,
         within: Duration,
         holds: impl Fn() -> bool,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<Response, CallError> {
         let started = clock::now();
         let stream = self.checkout(within).await.map_err(CallError::NotSent)?;
         if !holds() {
@@ -130,11 +130,11 @@
         let left = within.saturating_sub(clock::elapsed(started));
         let exchange = exchange(&stream, &bytes, call.method == "HEAD");
         let (answer, reusable) = match clock::timeout(left, exchange).await {
-            Ok(result) => result.map_err(CallError::Unanswered)?,
+            Ok(result) => result.map_err(CallError::NoResponse)?,
             Err(_) => {
                 // Those that rest may have gone silent with this one.
-                self.drop_idle();
-                return Err(CallError::Unanswered(io::ErrorKind::TimedOut.into()));
+                self.close_idle();
+                return Err(CallError::NoResponse(io::ErrorKind::TimedOut.into()));
             }
         };
         if reusable && self.idle.borrow().len() < MAX_IDLE {
@@ -144,13 +144,13 @@
     }
 
     /// Closes the connections that rest.
-    pub fn drop_idle(&self) {
+    pub fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
     async fn checkout(&self, within: Duration) -> io::Result<TcpStream> {
         while let Some(stream) = self.pop_idle() {
-            if is_quiet(&stream) {
+            if is_reusable(&stream) {
                 return Ok(stream);
             }
         }
@@ -165,8 +165,8 @@
 async fn exchange(
     stream: &TcpStream,
     bytes: &[u8],
-    to_head_method: bool,
-) -> io::Result<(Answer, bool)> {
+    to_head_request: bool,
+) -> io::Result<(Response, bool)> {
     write_all(stream, bytes).await?;
     let mut buffer = BytesMut::new();
     let malformed = || io::Error::from(io::ErrorKind::InvalidData);
@@ -174,7 +174,7 @@
         if read_some(stream, &mut buffer).await? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        let head = take_answer(&mut buffer, MAX_HEAD_BYTES, to_head_method);
+        let head = parse_response_head(&mut buffer, MAX_HEAD_BYTES, to_head_request);
         if let Some(head) = head.map_err(|_| malformed())? {
             break head;
         }
@@ -199,5 +199,5 @@
         }
     }
     let reusable = head.keeps_connection && buffer.is_empty();
-    Ok((Answer { head, body }, reusable))
+    Ok((Response { head, body }, reusable))
 }
--- a/crates/cometmoor-gateway/src/http/connection.rs
+++ b/crates/cometmoor-gateway/src/http/connection.rs
@@ -21,7 +21,7 @@
 
 /// Sets the options that every connection gets: no delay of small writes, and
 /// an end of those whose other side is silent.
-pub fn prepare(stream: &TcpStream) -> io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
@@ -38,7 +38,7 @@
     let stream = clock::timeout(within, connecting)
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    prepare(&stream)?;
+    set_socket_options(&stream)?;
     Ok(stream)
 }
 
@@ -70,7 +70,7 @@
 
 /// Waits until the other side has ended the connection, keeping up to
 /// `most_bytes` that it sends before.
-pub async fn closed(stream: &TcpStream, buffer: &mut BytesMut, most_bytes: usize) {
+pub async fn wait_for_close(stream: &TcpStream, buffer: &mut BytesMut, most_bytes: usize) {
     loop {
         if buffer.len() > most_bytes {
             return std::future::pending().await;
@@ -83,7 +83,7 @@
 }
 
 /// Whether a resting connection is still open and nothing was sent on it.
-pub fn is_quiet(stream: &TcpStream) -> bool {
+pub fn is_reusable(stream: &TcpStream) -> bool {
     let mut byte = [0; 1];
     match stream.try_read(&mut byte) {
         Err(error) => error.kind() == io::ErrorKind::WouldBlock,
--- a/crates/cometmoor-gateway/src/http/head.rs
+++ b/crates/cometmoor-gateway/src/http/head.rs
@@ -139,7 +139,7 @@
     /// Target, as sent: path and query.
     pub target: String,
     /// Whether it is HTTP/1.1.
-    pub one_one: bool,
+    pub is_http_1_1: bool,
     /// Header lines.
     pub headers: Headers,
     /// How the body ends.
@@ -167,13 +167,13 @@
 
     /// Whether the client wants to keep the connection.
     pub fn keeps_connection(&self) -> bool {
-        self.one_one && !self.headers.connection_has("close")
+        self.is_http_1_1 && !self.headers.connection_has("close")
     }
 }
 
 /// Head of a server's answer.
 #[derive(Clone, Debug)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Status code.
     pub status: u16,
     /// Words behind the status code.
@@ -193,7 +193,7 @@
 }
 
 /// Takes the head of a request off the buffer; `None` until it is whole.
-pub fn take_request(
+pub fn parse_request_head(
     buffer: &mut BytesMut,
     max_bytes: usize,
 ) -> Result<Option<RequestHead>, HeadError> {
@@ -224,29 +224,29 @@
 
 fn request_head(request: &httparse::Request<'_, '_>) -> Result<RequestHead, HeadError> {
     let headers = owned(request.headers);
-    let one_one = request.version == Some(1);
+    let is_http_1_1 = request.version == Some(1);
     let target = request.path.unwrap_or_default().to_owned();
     if !target.starts_with('/') || headers.all("host").count() != 1 {
         return Err(HeadError::Malformed);
     }
     let framing = match (headers.chunked()?, headers.length()?) {
         (true, Some(_)) => return Err(HeadError::AmbiguousLength),
-        (true, None) if !one_one => return Err(HeadError::AmbiguousLength),
+        (true, None) if !is_http_1_1 => return Err(HeadError::AmbiguousLength),
         (true, None) => Framing::Chunked,
         (false, None | Some(0)) => Framing::Empty,
         (false, Some(length)) => Framing::Length(length),
     };
     let method = request.method.unwrap_or_default().to_owned();
-    Ok(RequestHead { method, target, one_one, headers, framing })
+    Ok(RequestHead { method, target, is_http_1_1, headers, framing })
 }
 
 /// Takes the head of an answer off the buffer; `None` until it is whole.
 /// Interim answers (1xx) are passed over.
-pub fn take_answer(
+pub fn parse_response_head(
     buffer: &mut BytesMut,
     max_bytes: usize,
-    to_head_method: bool,
-) -> Result<Option<AnswerHead>, HeadError> {
+    to_head_request: bool,
+) -> Result<Option<ResponseHead>, HeadError> {
     loop {
         let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut lines);
@@ -256,7 +256,7 @@
             }
             Ok(httparse::Status::Partial) => return Ok(None),
             Ok(httparse::Status::Complete(length)) => {
-                (length, answer_head(&response, to_head_method)?)
+                (length, answer_head(&response, to_head_request)?)
             }
             Err(_) => return Err(HeadError::Malformed),
         };
@@ -269,11 +269,11 @@
 
 fn answer_head(
     response: &httparse::Response<'_, '_>,
-    to_head_method: bool,
-) -> Result<AnswerHead, HeadError> {
+    to_head_request: bool,
+) -> Result<ResponseHead, HeadError> {
     let headers = owned(response.headers);
     let status = response.code.unwrap_or_default();
-    let bodiless = to_head_method || status < 200 || status == 204 || status == 304;
+    let bodiless = to_head_request || status < 200 || status == 204 || status == 304;
     let framing = match (headers.chunked()?, headers.length()?) {
         (true, Some(_)) => return Err(HeadError::AmbiguousLength),
         _ if bodiless => Framing::Empty,
@@ -282,9 +282,9 @@
         (false, Some(length)) => Framing::Length(length),
         (false, None) => Framing::UntilClose,
     };
-    let one_one = response.version == Some(1);
+    let is_http_1_1 = response.version == Some(1);
     let keeps_connection =
-        one_one && !headers.connection_has("close") && framing != Framing::UntilClose;
+        is_http_1_1 && !headers.connection_has("close") && framing != Framing::UntilClose;
     let reason = response.reason.unwrap_or_default().to_owned();
-    Ok(AnswerHead { status, reason, headers, framing, keeps_connection })
+    Ok(ResponseHead { status, reason, headers, framing, keeps_connection })
 }
--- a/crates/cometmoor-gateway/src/ready.rs
+++ b/crates/cometmoor-gateway/src/http_server.rs
@@ -8,8 +8,8 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use crate::clock;
-use crate::http::connection::{prepare, read_some, write_all};
-use crate::http::head::{RequestHead, take_request};
+use crate::http::connection::{read_some, set_socket_options, write_all};
+use crate::http::head::{RequestHead, parse_request_head};
 
 /// Largest head of a request, in bytes.
 const MAX_HEAD_BYTES: usize = 8 << 10;
@@ -20,7 +20,7 @@
 
 /// An answer.
 #[derive(Clone, Debug, Default)]
-pub struct SmallAnswer {
+pub struct SimpleResponse {
     /// Status code.
     pub status: u16,
     /// Type of the body.
@@ -29,10 +29,10 @@
     pub body: Vec<u8>,
 }
 
-impl SmallAnswer {
+impl SimpleResponse {
     /// An answer without a body.
-    pub fn status(status: u16) -> SmallAnswer {
-        SmallAnswer { status, content_type: "text/plain", body: Vec::new() }
+    pub fn status(status: u16) -> SimpleResponse {
+        SimpleResponse { status, content_type: "text/plain", body: Vec::new() }
     }
 
     fn encode(&self, keeps: bool) -> Vec<u8> {
@@ -40,7 +40,7 @@
         let head = format!(
             "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n{connection}\r\n",
             self.status,
-            reason(self.status),
+            reason_phrase(self.status),
             self.content_type,
             self.body.len()
         );
@@ -51,7 +51,7 @@
 }
 
 /// Words for a status code.
-pub fn reason(status: u16) -> &'static str {
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -69,15 +69,15 @@
 }
 
 /// Answers requests without a body until the process ends.
-pub async fn serve(listener: TcpListener, answer: Rc<dyn Fn(&RequestHead) -> SmallAnswer>) {
-    serve_waiting(listener, move |head: RequestHead| std::future::ready(answer(&head))).await;
+pub async fn serve(listener: TcpListener, answer: Rc<dyn Fn(&RequestHead) -> SimpleResponse>) {
+    serve_async(listener, move |head: RequestHead| std::future::ready(answer(&head))).await;
 }
 
 /// The same with answers that have to be waited for.
-pub async fn serve_waiting<Answer, Answering>(listener: TcpListener, answer: Answer)
+pub async fn serve_async<Answer, Answering>(listener: TcpListener, answer: Answer)
 where
     Answer: Fn(RequestHead) -> Answering + Clone + 'static,
-    Answering: Future<Output = SmallAnswer> + 'static,
+    Answering: Future<Output = SimpleResponse> + 'static,
 {
     loop {
         match listener.accept().await {
@@ -92,14 +92,14 @@
 async fn serve_connection<Answer, Answering>(stream: TcpStream, answer: Answer)
 where
     Answer: Fn(RequestHead) -> Answering + 'static,
-    Answering: Future<Output = SmallAnswer> + 'static,
+    Answering: Future<Output = SimpleResponse> + 'static,
 {
-    if prepare(&stream).is_err() {
+    if set_socket_options(&stream).is_err() {
         return;
     }
     let mut buffer = BytesMut::new();
     loop {
-        let head = match take_request(&mut buffer, MAX_HEAD_BYTES) {
+        let head = match parse_request_head(&mut buffer, MAX_HEAD_BYTES) {
             Ok(Some(head)) => head,
             Ok(None) => {
                 let read = clock::timeout(IDLE_TIMEOUT, read_some(&stream, &mut buffer));
@@ -109,7 +109,7 @@
                 }
             }
             Err(_) => {
-                let bytes = SmallAnswer::status(400).encode(false);
+                let bytes = SimpleResponse::status(400).encode(false);
                 let _ = write_all(&stream, &bytes).await;
                 return;
             }
--- a/crates/cometmoor-gateway/src/pace.rs
+++ b/crates/cometmoor-gateway/src/latency.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Running requests beside which a prompt is read at about full speed.
-pub const FEW_RUNNING: u32 = 6;
+pub const MAX_RUNNING_FOR_PREFILL_SAMPLE: u32 = 6;
 /// Milliseconds for a prompt token before anything was learned.
 const FIRST_GUESS: f64 = 0.045;
 /// Least weight of the newest sample.
@@ -47,30 +47,32 @@
 
 /// Milliseconds for a prompt token, by model.
 #[derive(Clone, Debug, Default)]
-pub struct PaceTable {
+pub struct LatencyEstimates {
     models: HashMap<String, Pace>,
 }
 
-impl PaceTable {
+impl LatencyEstimates {
     /// Milliseconds for a prompt token.
-    pub fn of(&self, model: &str) -> f64 {
+    pub fn prefill_millis_per_token(&self, model: &str) -> f64 {
         self.models.get(model).map_or(FIRST_GUESS, |pace| pace.millis_per_token)
     }
 
     /// Time that a server takes to read a prompt.
-    pub fn work(&self, model: &str, prompt_tokens: u64) -> Duration {
-        Duration::from_secs_f64(self.of(model) * prompt_tokens as f64 / 1000.0)
+    pub fn prefill_time(&self, model: &str, prompt_tokens: u64) -> Duration {
+        Duration::from_secs_f64(
+            self.prefill_millis_per_token(model) * prompt_tokens as f64 / 1000.0,
+        )
     }
 
     /// Time for which a request is likely to hold a slot of a server's batch,
     /// by the tokens that it allows for its answer.
-    pub fn running(&self, model: &str, output_tokens: u64) -> Duration {
+    pub fn slot_time(&self, model: &str, output_tokens: u64) -> Duration {
         let pace = self.models.get(model).copied().unwrap_or_default();
         Duration::from_secs_f64(pace.millis_per_output_token * output_tokens as f64 / 1000.0)
     }
 
     /// Notes how long a whole stream ran from its first event on.
-    pub fn record_stream(&mut self, model: &str, output_tokens: u64, running: Duration) {
+    pub fn record_generation(&mut self, model: &str, output_tokens: u64, running: Duration) {
         if output_tokens == 0 {
             return;
         }
@@ -80,7 +82,7 @@
     }
 
     /// Notes the time to the first event of a request that waited for nobody.
-    pub fn record(&mut self, model: &str, prompt_tokens: u64, first_event: Duration) {
+    pub fn record_prefill(&mut self, model: &str, prompt_tokens: u64, first_event: Duration) {
         if prompt_tokens < FEWEST_TOKENS {
             return;
         }
--- a/crates/cometmoor-gateway/src/log.rs
+++ b/crates/cometmoor-gateway/src/log.rs
@@ -73,36 +73,36 @@
 }
 
 /// Lines of good requests that were left out.
-pub fn skipped_lines() -> u64 {
+pub fn suppressed_lines() -> u64 {
     GOOD.skipped.load(Ordering::Relaxed)
 }
 
 /// Whether a line of a request that goes well may be written now.
-pub fn may_tell_good() -> bool {
+pub fn allow_success_line() -> bool {
     GOOD.may_pass()
 }
 
 /// Whether a line of a request beyond its tenant's limit may be written now.
-pub fn may_tell_over_limit() -> bool {
+pub fn allow_over_limit_line() -> bool {
     OVER_LIMIT.may_pass()
 }
 
 /// Whether a line of a request without a valid key may be written now.
-pub fn may_tell_unauthorized() -> bool {
+pub fn allow_unauthorized_line() -> bool {
     UNAUTHORIZED.may_pass()
 }
 
 /// Sends log lines of this level and above to standard output, with the node's
 /// name in each.
-pub fn start(node: &str, level: spdlog::Level) {
-    if let Some(logger) = logger_to(node, level, io::stdout()) {
+pub fn init(node: &str, level: spdlog::Level) {
+    if let Some(logger) = build_logger(node, level, io::stdout()) {
         spdlog::set_default_logger(Arc::new(logger));
     }
 }
 
 /// A logger whose lines go through a bounded queue to a thread of their own,
 /// which writes them to the output.
-pub fn logger_to(
+pub fn build_logger(
     node: &str,
     level: spdlog::Level,
     output: impl Write + Send + 'static,
@@ -159,6 +159,6 @@
 }
 
 /// Gives the last lines time to be written.
-pub fn finish() {
+pub fn flush() {
     std::thread::sleep(GATHER * 2);
 }
--- a/crates/cometmoor-gateway/src/mirror.rs
+++ b/crates/cometmoor-gateway/src/mirror.rs
@@ -28,7 +28,7 @@
 
 impl From<Item> for MirroredItem {
     fn from(item: Item) -> MirroredItem {
-        let Item { value, revision, created: create_revision, version, .. } = item;
+        let Item { value, revision, create_revision, version, .. } = item;
         MirroredItem { revision, create_revision, version, value, is_lost: false }
     }
 }
@@ -177,8 +177,8 @@
 
     fn apply_event(&mut self, event: WatchEvent) -> bool {
         match event {
-            WatchEvent::Written(item) => self.write(item.key.clone(), item.into()),
-            WatchEvent::Gone { key, revision } => self.remove(key, revision),
+            WatchEvent::Put(item) => self.write(item.key.clone(), item.into()),
+            WatchEvent::Deleted { key, revision } => self.remove(key, revision),
         }
     }
 
--- a/crates/cometmoor-gateway/src/node.rs
+++ b/crates/cometmoor-gateway/src/node.rs
@@ -23,13 +23,13 @@
 use crate::forward::TrafficContext;
 use crate::frontend;
 use crate::http::head::RequestHead;
+use crate::http_server::{SimpleResponse, serve as serve_small};
 use crate::load::LoadBoard;
 use crate::metrics::{CopyLabels, Metrics, StateLabels};
 use crate::peer::{StorePrefix, lease_from_renewal_path};
 use crate::published::{Board, Phase, ShutdownTimes};
 use crate::quarantine::QuarantineBoard;
 use crate::quota::QuotaLimiter;
-use crate::ready::{SmallAnswer, serve as serve_small};
 use crate::settings::{GatewaySettings, SettingsError};
 use crate::signals::SignalBoard;
 use crate::store::{Store, StoreLease};
@@ -87,11 +87,11 @@
     level: spdlog::Level,
 ) -> Result<(), StartError> {
     let settings = GatewaySettings::read(&settings_file).map_err(StartError::Settings)?;
-    crate::log::start(&settings.node, level);
+    crate::log::init(&settings.node, level);
     let node = Node::start(settings, dialect).await?;
     wait_for_stop(&settings_file, &node.settings).await?;
     node.drain().await;
-    crate::log::finish();
+    crate::log::flush();
     Ok(())
 }
 
@@ -232,7 +232,7 @@
     let failed = |source| StartError::Listen { address: settings.peer_address, source };
     let fleet = start_control(context.clone()).await.map_err(failed)?;
     spawn_small(settings.ready_address, ready_answer(board, dialect))?;
-    spawn_small(settings.directory_address, directory_answer(settings, board, dialect))?;
+    spawn_small(settings.directory_address, directory_response(settings, board, dialect))?;
     if let Some(address) = settings.metrics_address {
         spawn_small(address, metrics_answer(shared))?;
     }
@@ -247,7 +247,7 @@
     u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
 
-type Answering = Rc<dyn Fn(&RequestHead) -> SmallAnswer>;
+type Answering = Rc<dyn Fn(&RequestHead) -> SimpleResponse>;
 
 fn spawn_small(address: SocketAddrV4, answer: Answering) -> Result<(), StartError> {
     let failed = |source| StartError::Listen { address, source };
@@ -261,9 +261,9 @@
     Rc::new(move |head| {
         let ready = board.fleet.load().phase == Phase::Ready;
         match (head.path() == dialect.ready_path(), ready) {
-            (false, _) => SmallAnswer::status(404),
-            (true, true) => SmallAnswer::status(200),
-            (true, false) => SmallAnswer::status(503),
+            (false, _) => SimpleResponse::status(404),
+            (true, true) => SimpleResponse::status(200),
+            (true, false) => SimpleResponse::status(503),
         }
     })
 }
@@ -304,11 +304,11 @@
         metrics.ignored_entries.set(fleet.ignored_entries as i64);
         metrics.dropped_lines.set(i64::try_from(crate::log::dropped_lines()).unwrap_or(i64::MAX));
         let body = metrics.text().into_bytes();
-        SmallAnswer { status: 200, content_type: "text/plain", body }
+        SimpleResponse { status: 200, content_type: "text/plain", body }
     })
 }
 
-fn directory_answer(
+fn directory_response(
     settings: &GatewaySettings,
     board: &Arc<Board>,
     dialect: &Arc<dyn Dialect>,
@@ -317,15 +317,15 @@
     let lifetime = settings.directory_lifetime();
     Rc::new(move |head| {
         if head.path() != dialect.directory_path() {
-            return SmallAnswer::status(404);
+            return SimpleResponse::status(404);
         }
         let fleet = board.fleet.load();
         let addresses = addresses(&fleet.nodes, dialect.directory_zone(head));
         if addresses.is_empty() {
-            return SmallAnswer::status(503);
+            return SimpleResponse::status(503);
         }
-        let body = dialect.directory_answer(&addresses, lifetime);
-        SmallAnswer { status: 200, content_type: "application/json", body }
+        let body = dialect.directory_response(&addresses, lifetime);
+        SimpleResponse { status: 200, content_type: "application/json", body }
     })
 }
 
@@ -339,7 +339,7 @@
     let failed = |source| StartError::Listen { address, source };
     let listener = TcpListener::from_std(listen(address)?).map_err(failed)?;
     let (fleet, context) = (fleet.clone(), context.clone());
-    actix_rt::spawn(crate::ready::serve_waiting(listener, move |head: RequestHead| {
+    actix_rt::spawn(crate::http_server::serve_async(listener, move |head: RequestHead| {
         let (fleet, context) = (fleet.clone(), context.clone());
         async move {
             if let Some(lease) = lease_from_renewal_path(head.path()) {
@@ -349,7 +349,7 @@
                 Some((subject, after)) => {
                     copy_answer(&fleet, &context.traffic, subject, after).await
                 }
-                None => SmallAnswer::status(404),
+                None => SimpleResponse::status(404),
             }
         }
     }));
@@ -361,7 +361,7 @@
     traffic: &ControlTraffic,
     subject: StorePrefix,
     after: StorePosition,
-) -> SmallAnswer {
+) -> SimpleResponse {
     let kind = match subject {
         StorePrefix::Configuration => TrafficKind::ConfigurationCopy,
         StorePrefix::Servers => TrafficKind::ServersCopy,
@@ -369,17 +369,17 @@
     match fleet.send(GetUpdate { prefix: subject, after }).await {
         Ok(Some(body)) => {
             traffic.count(kind, 1, body.len());
-            SmallAnswer { status: 200, content_type: BINARY, body: body.to_vec() }
+            SimpleResponse { status: 200, content_type: BINARY, body: body.to_vec() }
         }
-        _ => SmallAnswer::status(503),
+        _ => SimpleResponse::status(503),
     }
 }
 
-async fn renewal_answer(context: &ControlContext, lease: StoreLease) -> SmallAnswer {
+async fn renewal_answer(context: &ControlContext, lease: StoreLease) -> SimpleResponse {
     match context.store.renew_lease(lease).await {
-        Ok(true) => SmallAnswer::status(200),
-        Ok(false) => SmallAnswer::status(404),
-        Err(_) => SmallAnswer::status(503),
+        Ok(true) => SimpleResponse::status(200),
+        Ok(false) => SimpleResponse::status(404),
+        Err(_) => SimpleResponse::status(503),
     }
 }
 
--- a/crates/cometmoor-gateway/src/pool.rs
+++ b/crates/cometmoor-gateway/src/pool.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 
 use crate::clock;
-use crate::http::connection::{connect, is_quiet};
+use crate::http::connection::{connect, is_reusable};
 
 /// Time for a new connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
@@ -26,7 +26,7 @@
 }
 
 /// A connection, and whether it was used before.
-pub struct Lent {
+pub struct PooledConnection {
     /// The connection.
     pub stream: TcpStream,
     /// Whether an earlier request went over it.
@@ -47,24 +47,24 @@
     }
 
     /// A resting connection, or a new one.
-    pub async fn checkout(&self, within: Duration) -> io::Result<Lent> {
+    pub async fn checkout(&self, within: Duration) -> io::Result<PooledConnection> {
         if let Some(stream) = self.take_idle(clock::now()) {
-            return Ok(Lent { stream, reused: true });
+            return Ok(PooledConnection { stream, reused: true });
         }
         let stream = connect(self.address, within.min(CONNECT_TIMEOUT)).await?;
-        Ok(Lent { stream, reused: false })
+        Ok(PooledConnection { stream, reused: false })
     }
 
     /// Opens a connection whatever rests.
-    pub async fn probe(&self) -> io::Result<TcpStream> {
+    pub async fn connect(&self) -> io::Result<TcpStream> {
         connect(self.address, CONNECT_TIMEOUT).await
     }
 
     /// Keeps a connection for the next request if it is still open; tells whether it is.
-    pub fn keep(&self, stream: TcpStream) -> bool {
-        let is_open = is_quiet(&stream);
+    pub fn release_if_open(&self, stream: TcpStream) -> bool {
+        let is_open = is_reusable(&stream);
         if is_open {
-            self.give_back(stream, None);
+            self.release(stream, None);
         }
         is_open
     }
@@ -77,7 +77,7 @@
     fn take_idle(&self, now: BootInstant) -> Option<TcpStream> {
         let mut idle = self.idle.borrow_mut();
         while let Some(candidate) = idle.pop() {
-            if candidate.until > now && is_quiet(&candidate.stream) {
+            if candidate.until > now && is_reusable(&candidate.stream) {
                 return Some(candidate.stream);
             }
         }
@@ -85,7 +85,7 @@
     }
 
     /// Takes a connection back whose last answer was whole.
-    pub fn give_back(&self, stream: TcpStream, keep_alive_seconds: Option<u64>) {
+    pub fn release(&self, stream: TcpStream, keep_alive_seconds: Option<u64>) {
         if let Some(seconds) = keep_alive_seconds {
             self.told_rest.set(Some(Duration::from_secs(seconds).mul_f64(REST_PART)));
         }
@@ -97,7 +97,7 @@
     }
 
     /// Closes connections that have rested for too long.
-    pub fn close_old(&self, now: BootInstant) {
+    pub fn close_expired(&self, now: BootInstant) {
         self.idle.borrow_mut().retain(|idle| idle.until > now);
     }
 
--- a/crates/cometmoor-gateway/src/servers.rs
+++ b/crates/cometmoor-gateway/src/servers.rs
@@ -329,7 +329,7 @@
     /// Closes connections that have rested for too long.
     pub fn close_idle_connections(&self, now: BootInstant) {
         for server in self.by_incarnation.values() {
-            server.pool.close_old(now);
+            server.pool.close_expired(now);
         }
     }
 }
--- a/crates/cometmoor-gateway/src/store.rs
+++ b/crates/cometmoor-gateway/src/store.rs
@@ -7,8 +7,8 @@
 use cometmoor_core::gateway::store_position::{StoreEra, StorePosition};
 
 use crate::control_traffic::TrafficKind;
-use crate::dialect::{Commit, Committed, Dialect, FormatError, Item, Watched};
-use crate::http::client::{Answer, Call, CallClient, CallError};
+use crate::dialect::{Commit, CommitResult, Dialect, FormatError, Item, WatchResult};
+use crate::http::client::{Call, CallClient, CallError, Response};
 use crate::metrics::Metrics;
 use crate::mirror::Mirror;
 use crate::store_era::{EraTracker, PastEra};
@@ -110,7 +110,7 @@
         kind: TrafficKind,
         call: &Call,
         within: Duration,
-    ) -> Result<InEra<Answer>, StoreError> {
+    ) -> Result<InEra<Response>, StoreError> {
         let newest_then = self.eras.newest();
         let answer = self.client.call(call, within).await;
         let bytes = answer.as_ref().map_or(0, |answer| answer.body.len());
@@ -145,7 +145,7 @@
         let call = self.dialect.read_range(prefix, after);
         let answer = self.call(TrafficKind::StoreRead, &call, within).await?;
         let told = self.dialect.parse_range(&answer.content)?;
-        let at = StorePosition { era: answer.era, revision: told.at };
+        let at = StorePosition { era: answer.era, revision: told.revision };
         if read.at.get_or_insert(at).era != answer.era {
             return Err(StoreError::EraBegan);
         }
@@ -163,21 +163,21 @@
         after: StorePosition,
         wait: Duration,
         slack: Duration,
-    ) -> Result<Watched, StoreError> {
+    ) -> Result<WatchResult, StoreError> {
         let call = self.dialect.watch(prefix, after.revision, wait);
         let answer = self.call(TrafficKind::StoreWatch, &call, wait + slack).await?;
         let watched = self.dialect.parse_watch(&answer.content)?;
-        Ok(if answer.era == after.era { watched } else { Watched::Forgotten })
+        Ok(if answer.era == after.era { watched } else { WatchResult::Compacted })
     }
 
     /// Uses none of the connections that rest: what was sent on another one has
     /// no answer, and they may have gone silent with it.
     pub fn distrust_connections(&self) {
-        self.client.drop_idle();
+        self.client.close_idle();
     }
 
     /// Writes under conditions.
-    pub async fn commit(&self, commit: &Commit) -> Result<InEra<Committed>, StoreError> {
+    pub async fn commit(&self, commit: &Commit) -> Result<InEra<CommitResult>, StoreError> {
         let call = self.dialect.commit(commit);
         let answer = self.call(TrafficKind::StoreCommit, &call, CALL_TIMEOUT).await?;
         let content = self.dialect.parse_commit(&answer.content)?;
@@ -188,7 +188,7 @@
     pub async fn grant_lease(&self, lifetime: Duration) -> Result<StoreLease, StoreError> {
         let call = self.dialect.grant_lease(lifetime);
         let answer = self.call(TrafficKind::StoreLease, &call, CALL_TIMEOUT).await?;
-        let id = self.dialect.parse_lease(&answer.content)?;
+        let id = self.dialect.parse_lease_grant(&answer.content)?;
         Ok(StoreLease { id, era: answer.era })
     }
 
@@ -200,15 +200,15 @@
         }
         let call = self.dialect.renew_lease(lease.id);
         let answer = self.call(TrafficKind::StoreLease, &call, CALL_TIMEOUT).await?;
-        Ok(self.dialect.parse_renewal(&answer.content)? && answer.era == lease.era)
+        Ok(self.dialect.parse_lease_renewal(&answer.content)? && answer.era == lease.era)
     }
 
     /// Gives a lease back, unless its era is over.
-    pub async fn end_lease(&self, lease: StoreLease) -> Result<(), StoreError> {
+    pub async fn revoke_lease(&self, lease: StoreLease) -> Result<(), StoreError> {
         if lease.era < self.eras.newest() {
             return Ok(());
         }
-        let call = self.dialect.end_lease(lease.id);
+        let call = self.dialect.revoke_lease(lease.id);
         self.call(TrafficKind::StoreLease, &call, CALL_TIMEOUT).await.map(|_| ())
     }
 }
--- a/crates/cometmoor-gateway/tests/fingerprint.rs
+++ b/crates/cometmoor-gateway/tests/fingerprint.rs
@@ -3,13 +3,13 @@
 use bytes::BytesMut;
 use cometmoor_core::gateway::quarantine::Fingerprint;
 use cometmoor_gateway::fingerprint::fingerprint;
-use cometmoor_gateway::http::head::take_request;
+use cometmoor_gateway::http::head::parse_request_head;
 
 const MAX_HEAD_BYTES: usize = 4096;
 
 fn fingerprint_of(head: &str, body: &str) -> Fingerprint {
     let mut bytes = BytesMut::from(format!("{head}\r\n\r\n").as_bytes());
-    let head = take_request(&mut bytes, MAX_HEAD_BYTES).unwrap().unwrap();
+    let head = parse_request_head(&mut bytes, MAX_HEAD_BYTES).unwrap().unwrap();
     fingerprint(&head, body.as_bytes())
 }
 
--- a/crates/cometmoor-gateway/tests/log.rs
+++ b/crates/cometmoor-gateway/tests/log.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, channel};
 
-use cometmoor_gateway::log::{dropped_lines, logger_to};
+use cometmoor_gateway::log::{build_logger, dropped_lines};
 use spdlog::info;
 
 /// More lines than the queue holds.
@@ -28,7 +28,7 @@
 #[test]
 fn a_reader_that_never_reads_stops_nobody_and_drops_are_counted() {
     let (over, unread) = channel();
-    let logger = logger_to("node-1", spdlog::Level::Info, Unread { over: unread }).unwrap();
+    let logger = build_logger("node-1", spdlog::Level::Info, Unread { over: unread }).unwrap();
     for number in 0..LINES {
         info!(logger: logger, "[test] a line", kv: { number });
     }
--- a/crates/cometmoor-gateway/tests/mirror.rs
+++ b/crates/cometmoor-gateway/tests/mirror.rs
@@ -16,11 +16,11 @@
 
 fn written(key: u32, revision: u64) -> WatchEvent {
     let value = revision.to_string().into_bytes();
-    WatchEvent::Written(Item {
+    WatchEvent::Put(Item {
         key: format!("k{key}"),
         value,
         revision,
-        created: revision,
+        create_revision: revision,
         version: None,
     })
 }
@@ -34,7 +34,7 @@
         for revision in 2..STEPS {
             let key = random.random_range(0..KEYS);
             let event = if random.random_bool(0.3) {
-                WatchEvent::Gone { key: format!("k{key}"), revision }
+                WatchEvent::Deleted { key: format!("k{key}"), revision }
             } else {
                 written(key, revision)
             };
@@ -62,7 +62,7 @@
 fn a_key_that_is_gone_does_not_come_back_by_an_older_write() {
     let mut mirror = Mirror::from_items(Vec::new(), at(1));
     mirror.apply_events(vec![written(1, 2)]);
-    mirror.apply_events(vec![WatchEvent::Gone { key: "k1".to_owned(), revision: 5 }]);
+    mirror.apply_events(vec![WatchEvent::Deleted { key: "k1".to_owned(), revision: 5 }]);
     assert!(!mirror.apply_events(vec![written(1, 3)]));
     assert!(mirror.items.is_empty());
     assert!(mirror.apply_events(vec![written(1, 6)]));
@@ -77,7 +77,7 @@
         key: "configuration".into(),
         value: routes.into(),
         revision: 4,
-        created: 1,
+        create_revision: 1,
         version: None,
     };
     let mirror = Mirror::from_items(vec![item], at(4));
@@ -108,7 +108,7 @@
 fn version(version: u64, revision: u64) -> WatchEvent {
     let value = format!("version {version}").into_bytes();
     let (key, version) = ("configuration".to_owned(), Some(version));
-    WatchEvent::Written(Item { key, value, revision, created: 1, version })
+    WatchEvent::Put(Item { key, value, revision, create_revision: 1, version })
 }
 
 /// A copy of an era that holds a version, and the version that it holds then.
@@ -131,7 +131,8 @@
     assert_eq!((mirror.position.revision, held(&mirror)), (9, (Some(86), true)));
     mirror.apply_events(vec![version(84, 10)]);
     assert_eq!(held(&mirror), (Some(86), true));
-    mirror.apply_events(vec![WatchEvent::Gone { key: "configuration".to_owned(), revision: 11 }]);
+    mirror
+        .apply_events(vec![WatchEvent::Deleted { key: "configuration".to_owned(), revision: 11 }]);
     assert_eq!(held(&mirror), (Some(86), true));
     mirror.apply_events(vec![version(86, 12)]);
     assert_eq!(held(&mirror), (Some(86), false));
@@ -158,9 +159,9 @@
         key: "configuration".to_owned(),
         value: b"?".to_vec(),
         revision: 21,
-        created: 1,
+        create_revision: 1,
         version: None,
     };
-    mirror.apply_events(vec![WatchEvent::Written(item)]);
+    mirror.apply_events(vec![WatchEvent::Put(item)]);
     assert_eq!(mirror.items["configuration"].value, b"?");
 }
--- a/crates/cometmoor-gateway/tests/mirror_restores.rs
+++ b/crates/cometmoor-gateway/tests/mirror_restores.rs
@@ -28,16 +28,17 @@
         self.revision += 1;
         let revision = self.revision;
         let value = format!("{key} {version:?} {revision}").into_bytes();
-        let item = Item { key: key.to_owned(), value, revision, created: revision, version };
+        let item =
+            Item { key: key.to_owned(), value, revision, create_revision: revision, version };
         self.items.insert(key.to_owned(), item.clone());
-        self.history.push(WatchEvent::Written(item));
+        self.history.push(WatchEvent::Put(item));
     }
 
     fn remove(&mut self, key: &str) {
         if self.items.remove(key).is_some() {
             self.revision += 1;
             let revision = self.revision;
-            self.history.push(WatchEvent::Gone { key: key.to_owned(), revision });
+            self.history.push(WatchEvent::Deleted { key: key.to_owned(), revision });
         }
     }
 
--- a/crates/cometmoor-lab/src/emulator/fleet.rs
+++ b/crates/cometmoor-lab/src/emulator/fleet.rs
@@ -4,8 +4,8 @@
 
 use cometmoor_core::gateway::admission::can_answer_in_time;
 use cometmoor_core::gateway::selection::{Candidate, CostModel, RequestProfile, select};
+use cometmoor_gateway::latency::LatencyEstimates;
 use cometmoor_gateway::load::{PendingPrefill, ServerLoad};
-use cometmoor_gateway::pace::PaceTable;
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::arrivals::Arrival;
@@ -35,7 +35,7 @@
     own: Vec<ServerLoad>,
     told: Vec<ServerLoad>,
     /// How fast models are, as this node learned it.
-    pub paces: PaceTable,
+    pub latencies: LatencyEstimates,
 }
 
 /// All nodes, each with what it knows.
@@ -49,7 +49,8 @@
     /// Nodes that have sent nothing yet.
     pub fn new(scenario: &Scenario) -> Fleet {
         let none = vec![ServerLoad::default(); scenario.engines.servers];
-        let node = NodeView { own: none.clone(), told: none, paces: PaceTable::default() };
+        let node =
+            NodeView { own: none.clone(), told: none, latencies: LatencyEstimates::default() };
         let pauses = scenario.kinds.iter().map(|kind| kind.pause_millis as f64);
         Fleet { nodes: vec![node; scenario.nodes], shortest_pause: pauses.min_by(f64::total_cmp) }
     }
@@ -143,8 +144,10 @@
     }
 
     fn demand(&self, policy: &Policy, arrival: &Arrival) -> RequestProfile {
-        let paces = &self.nodes[arrival.node].paces;
-        let millis = |tokens| paces.work(&model_name(arrival.model), tokens).as_secs_f64() * 1000.0;
+        let latencies = &self.nodes[arrival.node].latencies;
+        let millis = |tokens| {
+            latencies.prefill_time(&model_name(arrival.model), tokens).as_secs_f64() * 1000.0
+        };
         let shared = match policy.mechanisms.prompt_affinity {
             true => arrival.shared_tokens,
             false => 0,
@@ -160,8 +163,8 @@
 
     /// What a request adds to its server's load.
     pub fn load_of(&self, scenario: &Scenario, arrival: &Arrival) -> ServerLoad {
-        let paces = &self.nodes[arrival.node].paces;
-        let reading = paces.work(&model_name(arrival.model), arrival.prompt_tokens);
+        let latencies = &self.nodes[arrival.node].latencies;
+        let reading = latencies.prefill_time(&model_name(arrival.model), arrival.prompt_tokens);
         let priority = scenario.kinds[arrival.kind].priority;
         ServerLoad { in_flight: 1, pending: PendingPrefill::of(reading, priority) }
     }
--- a/crates/cometmoor-lab/src/emulator/world/requests.rs
+++ b/crates/cometmoor-lab/src/emulator/world/requests.rs
@@ -31,10 +31,10 @@
 
     pub(super) fn note_asked(&mut self, request: RequestIndex) {
         let Arrival { node, model, prompt_tokens, output_tokens, .. } = self.arrivals[request];
-        let paces = &self.fleet.node(node).paces;
+        let latencies = &self.fleet.node(node).latencies;
         let name = model_name(model);
-        let reading = paces.work(&name, prompt_tokens);
-        let running = paces.running(&name, output_tokens);
+        let reading = latencies.prefill_time(&name, prompt_tokens);
+        let running = latencies.slot_time(&name, output_tokens);
         self.asked[node].push(Asked { model, reading, running });
     }
 
--- a/crates/cometmoor-lab/src/emulator/world/servers.rs
+++ b/crates/cometmoor-lab/src/emulator/world/servers.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
+use cometmoor_gateway::latency::MAX_RUNNING_FOR_PREFILL_SAMPLE;
 use cometmoor_gateway::load::ServerLoad;
-use cometmoor_gateway::pace::FEW_RUNNING;
 
 use super::super::arrivals::Micros;
 use super::super::engine::{ModelIndex, Progress, RequestIndex, Run};
@@ -57,10 +57,10 @@
         let arrival = &self.arrivals[request];
         let (node, model, tokens) = (arrival.node, arrival.model, arrival.prompt_tokens);
         let begun = self.requests[request].begun;
-        let alone = self.engines[engine].in_flight() <= FEW_RUNNING as usize;
+        let alone = self.engines[engine].in_flight() <= MAX_RUNNING_FOR_PREFILL_SAMPLE as usize;
         if alone {
             let took = Duration::from_micros((self.now - begun).max(0) as u64);
-            self.fleet.node(node).paces.record(&model_name(model), tokens, took);
+            self.fleet.node(node).latencies.record_prefill(&model_name(model), tokens, took);
         }
         let pending = ServerLoad { in_flight: 0, ..load };
         self.fleet.take(node, engine, pending);
@@ -83,7 +83,7 @@
             (false, _) => Outcome::Late,
         };
         let running = Duration::from_micros((self.now - first).max(0) as u64);
-        self.fleet.node(node).paces.record_stream(&model_name(model), output, running);
+        self.fleet.node(node).latencies.record_generation(&model_name(model), output, running);
         self.end(request, outcome);
     }
 
