--- a/crates/cometmoor-gateway/src/forward/logging.rs
+++ b/crates/cometmoor-gateway/src/forward/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines that tell a request's story.
+//! Log lines on the progress of a request.
 
 use std::time::Duration;
 
@@ -7,115 +7,121 @@
 
 use super::ForwardedRequest;
 use super::outcome::Refusal;
-use super::relay::EventPauses;
+use super::relay::EventIntervals;
 use crate::clock;
-use crate::dialect::RunMoveAnswer;
+use crate::dialect::RunMigrationResponse;
 use crate::metrics::StateLabels;
 
 impl ForwardedRequest<'_> {
     pub(super) fn log_sent(&self, server: &str, reused: bool) {
-        if !crate::log::may_tell_good() {
+        if !crate::log::allow_success_line() {
             return;
         }
         let estimate = self.estimate.get();
         info!("[forward] sent", kv: {
-            request = &*self.facts.id,
+            request = &*self.metadata.id,
             content = self.content.to_string(),
             route = &*self.route.name,
             tenant = self.tenant_label(),
-            tokens = self.facts.tokens().unwrap_or_default(),
-            model = self.facts.model.as_ref().map_or("-", |model| &*model.model),
+            tokens = self.metadata.tokens().unwrap_or_default(),
+            model = self.metadata.model.as_ref().map_or("-", |model| &*model.model),
             server,
             reused,
             sends = self.attempts.get().sends(),
             expected_millis = estimate.expected_millis,
             in_flight = estimate.in_flight,
             backlog_millis = estimate.backlog_millis,
-            candidates = estimate.servers as u64,
-            held = estimate.held as u64,
+            candidates = estimate.candidates as u64,
+            held = estimate.on_hold as u64,
             servers_age_millis = self.traffic.board.fleet.load().servers_age_millis(),
             time_left_millis = self.time_left().as_millis() as u64,
-            age_millis = clock::elapsed(self.received).as_millis() as u64,
+            age_millis = clock::elapsed(self.received_at).as_millis() as u64,
         });
     }
 
-    /// A server that was picked and then turned out to take nothing from this node now.
-    pub(super) fn log_held(&self, server: &str, hold: Hold) {
-        if !crate::log::may_tell_good() {
+    /// Logs that a selected server is on hold and gets nothing from this node now.
+    pub(super) fn log_on_hold(&self, server: &str, hold: Hold) {
+        if !crate::log::allow_success_line() {
             return;
         }
-        info!("[forward] held back", kv: {
-            request = &*self.facts.id,
+        info!("[forward] the selected server is on hold", kv: {
+            request = &*self.metadata.id,
             route = &*self.route.name,
             server,
             reason = hold.name(),
             lasts_millis = hold.recheck_after().as_millis() as u64,
-            age_millis = clock::elapsed(self.received).as_millis() as u64,
+            age_millis = clock::elapsed(self.received_at).as_millis() as u64,
         });
     }
 
-    pub(super) fn log_answered(&self, server: &str, status: u16) {
-        if !self.note_answered() {
+    pub(super) fn log_completed(&self, server: &str, status: u16) {
+        if !self.record_completion() {
             return;
         }
         info!("[forward] answered", kv: {
-            request = &*self.facts.id,
+            request = &*self.metadata.id,
             route = &*self.route.name,
             server,
             status,
-            age_millis = clock::elapsed(self.received).as_millis() as u64,
+            age_millis = clock::elapsed(self.received_at).as_millis() as u64,
         });
     }
 
-    /// A stream that ended whole, with what makes it late: its first event, and
-    /// the longest pause between two events.
-    pub(super) fn log_stream_answered(&self, server: &str, pauses: &EventPauses) {
-        if !self.note_answered() {
+    /// Logs a complete stream, with the times that can make it late: until its first event, and
+    /// the longest interval between two events.
+    pub(super) fn log_stream_completed(&self, server: &str, intervals: &EventIntervals) {
+        if !self.record_completion() {
             return;
         }
         info!("[forward] answered", kv: {
-            request = &*self.facts.id,
+            request = &*self.metadata.id,
             route = &*self.route.name,
             server,
             expected_millis = self.estimate.get().expected_millis,
-            output_tokens = self.facts.output_tokens,
-            first_event_millis = pauses.until_first.as_millis() as u64,
-            longest_pause_millis = pauses.longest.as_millis() as u64,
-            age_millis = clock::elapsed(self.received).as_millis() as u64,
+            output_tokens = self.metadata.output_tokens,
+            first_event_millis = intervals.time_to_first.as_millis() as u64,
+            longest_pause_millis = intervals.longest.as_millis() as u64,
+            age_millis = clock::elapsed(self.received_at).as_millis() as u64,
         });
     }
 
-    /// A run that was stopped to go on elsewhere, with the answer to its move.
-    pub(super) fn log_move(&self, from: &str, to: &str, reason: &str, answer: &RunMoveAnswer) {
+    /// Logs and counts a run that was stopped to continue on another server, by the result.
+    pub(super) fn log_migration(
+        &self,
+        from: &str,
+        to: &str,
+        reason: &str,
+        answer: &RunMigrationResponse,
+    ) {
         let outcome = match answer {
-            RunMoveAnswer::Copied(_) => "moved",
-            RunMoveAnswer::NoRoom(_) => "no room",
-            RunMoveAnswer::NotMoved(_) => "not moved",
+            RunMigrationResponse::Copied(_) => "moved",
+            RunMigrationResponse::NoRoom(_) => "no room",
+            RunMigrationResponse::NotMoved(_) => "not moved",
         };
         self.traffic.metrics.run_moves.get_or_create(&StateLabels { state: outcome }).inc();
-        info!("[forward] a run is moved", kv: {
-            request = &*self.facts.id,
+        info!("[forward] run migration ended", kv: {
+            request = &*self.metadata.id,
             route = &*self.route.name,
-            model = self.facts.model.as_ref().map_or("-", |model| &*model.model),
+            model = self.metadata.model.as_ref().map_or("-", |model| &*model.model),
             from,
             to,
             reason,
             outcome,
-            age_millis = clock::elapsed(self.received).as_millis() as u64,
+            age_millis = clock::elapsed(self.received_at).as_millis() as u64,
         });
     }
 
-    /// Counts a good answer; tells whether its line may be written.
-    fn note_answered(&self) -> bool {
-        self.ended("answered", "server", "-");
-        self.traffic.metrics.observe(&self.traffic.metrics.whole, clock::elapsed(self.received));
-        crate::log::may_tell_good()
+    /// Counts a request as answered; returns whether its log line may be written.
+    fn record_completion(&self) -> bool {
+        self.record_end("answered", "server", "-");
+        self.traffic.metrics.observe(&self.traffic.metrics.whole, clock::elapsed(self.received_at));
+        crate::log::allow_success_line()
     }
 
-    /// A refusal with what decided it. Where servers held the model, the best of
-    /// them is told; `candidates` is 0 where none did.
-    pub(super) fn log_refused(&self, refusal: Refusal, come_back: Duration) {
-        if refusal == Refusal::OverLimit && !crate::log::may_tell_over_limit() {
+    /// Logs a refusal with the estimate that it is based on: that of the best server if
+    /// servers hold the model. `candidates` is 0 if none does.
+    pub(super) fn log_refusal(&self, refusal: Refusal, retry_after: Duration) {
+        if refusal == Refusal::OverLimit && !crate::log::allow_over_limit_line() {
             return;
         }
         let reason = refusal.name();
@@ -123,22 +129,22 @@
         let version = fleet.configuration.as_ref().map_or(0, |known| known.version);
         let estimate = self.estimate.get();
         warn!("[forward] refused", kv: {
-            request = &*self.facts.id,
+            request = &*self.metadata.id,
             content = self.content.to_string(),
             route = &*self.route.name,
             tenant = self.tenant_label(),
-            tokens = self.facts.tokens().unwrap_or_default(),
+            tokens = self.metadata.tokens().unwrap_or_default(),
             step = refusal.step(),
             reason,
             sends = self.attempts.get().sends(),
-            age_millis = clock::elapsed(self.received).as_millis() as u64,
-            model = self.facts.model.as_ref().map_or("-", |model| &*model.model),
+            age_millis = clock::elapsed(self.received_at).as_millis() as u64,
+            model = self.metadata.model.as_ref().map_or("-", |model| &*model.model),
             expected_millis = estimate.expected_millis,
             in_flight = estimate.in_flight,
             backlog_millis = estimate.backlog_millis,
-            candidates = estimate.servers as u64,
-            held = estimate.held as u64,
-            come_back_millis = come_back.as_millis() as u64,
+            candidates = estimate.candidates as u64,
+            held = estimate.on_hold as u64,
+            come_back_millis = retry_after.as_millis() as u64,
             configuration = version,
             servers = fleet.servers.len() as u64,
         });
@@ -148,15 +154,15 @@
         let fleet = self.traffic.board.fleet.load();
         let version = fleet.configuration.as_ref().map_or(0, |known| known.version);
         warn!("[forward] {what}", kv: {
-            request = &*self.facts.id,
+            request = &*self.metadata.id,
             content = self.content.to_string(),
             route = &*self.route.name,
             step,
             server,
             reason,
             sends = self.attempts.get().sends(),
-            age_millis = clock::elapsed(self.received).as_millis() as u64,
-            model = self.facts.model.as_ref().map_or("-", |model| &*model.model),
+            age_millis = clock::elapsed(self.received_at).as_millis() as u64,
+            model = self.metadata.model.as_ref().map_or("-", |model| &*model.model),
             configuration = version,
             servers = fleet.servers.len() as u64,
         });
