--- a/crates/cometmoor-gateway/src/load.rs
+++ b/crates/cometmoor-gateway/src/load.rs
@@ -1,4 +1,4 @@
-//! Load of the servers: what this node has sent them, and what others have.
+//! Load that nodes put on the servers, and demand for models and adapters.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,68 +7,70 @@
 use cometmoor_core::time::BootInstant;
 use serde::{Deserialize, Serialize};
 
-/// Ranks of urgency that are told apart; what is less urgent counts as the last.
-const RANKS: usize = 3;
+/// Number of priorities that are counted separately; lower ones count as the last of them.
+const PRIORITIES: usize = 3;
 
-/// Time that a server takes to read prompts, in microseconds, by the rank of
-/// the requests: servers admit the more urgent ones first.
+/// Time that a server takes for the prefill of prompts, by the priority of their requests: servers
+/// admit requests of higher priority first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PendingPrefill {
-    micros: [u64; RANKS],
+    /// In microseconds, highest priority first.
+    micros: [u64; PRIORITIES],
 }
 
 impl PendingPrefill {
-    /// Work of one request.
-    pub fn of(reading: Duration, urgency: u8) -> PendingPrefill {
-        let mut micros = [0; RANKS];
-        micros[rank(urgency)] = u64::try_from(reading.as_micros()).unwrap_or(0);
+    /// The pending prefill of one request; priority 0 is the highest.
+    pub fn of(prefill: Duration, priority: u8) -> PendingPrefill {
+        let mut micros = [0; PRIORITIES];
+        micros[level(priority)] = u64::try_from(prefill.as_micros()).unwrap_or(0);
         PendingPrefill { micros }
     }
 
-    /// The sum.
+    /// The sum by priority.
     fn plus(self, other: PendingPrefill) -> PendingPrefill {
         PendingPrefill {
-            micros: std::array::from_fn(|rank| self.micros[rank] + other.micros[rank]),
+            micros: std::array::from_fn(|level| self.micros[level] + other.micros[level]),
         }
     }
 
-    /// What is left without a part of it.
+    /// The difference by priority, at least zero.
     fn minus(self, part: PendingPrefill) -> PendingPrefill {
-        let left = |rank: usize| self.micros[rank].saturating_sub(part.micros[rank]);
+        let left = |level: usize| self.micros[level].saturating_sub(part.micros[level]);
         PendingPrefill { micros: std::array::from_fn(left) }
     }
 
-    /// Whether nothing waits.
+    /// Whether no prompt is pending.
     pub fn is_zero(self) -> bool {
         self == PendingPrefill::default()
     }
 
-    /// Time that all of it takes, in milliseconds.
+    /// Total of all priorities, in milliseconds.
     pub fn total_millis(self) -> f64 {
         self.micros.iter().sum::<u64>() as f64 / 1000.0
     }
 
-    /// Time before a request of this urgency is read, in milliseconds.
-    pub fn millis_before(self, urgency: u8) -> f64 {
-        self.micros[..=rank(urgency)].iter().sum::<u64>() as f64 / 1000.0
+    /// Prefill time of the prompts that are processed before a new request of this priority, in
+    /// milliseconds.
+    pub fn millis_before(self, priority: u8) -> f64 {
+        self.micros[..=level(priority)].iter().sum::<u64>() as f64 / 1000.0
     }
 }
 
-fn rank(urgency: u8) -> usize {
-    usize::from(urgency).min(RANKS - 1)
+fn level(priority: u8) -> usize {
+    usize::from(priority).min(PRIORITIES - 1)
 }
 
-/// Load that one node, or several together, put on a server.
+/// Load on a server from one or more nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerLoad {
-    /// Requests sent and not finished.
+    /// Number of requests sent and not completed.
     pub in_flight: u32,
-    /// Prompts of those whose first event has not come.
+    /// Prefill of the requests whose first event has not been received.
     pub pending: PendingPrefill,
 }
 
 impl ServerLoad {
-    /// The sum.
+    /// The sum of both loads.
     pub fn plus(self, other: ServerLoad) -> ServerLoad {
         ServerLoad {
             in_flight: self.in_flight + other.in_flight,
@@ -76,7 +78,7 @@
         }
     }
 
-    /// What is left without a part of it.
+    /// The load without `part` of it, at least zero.
     pub fn minus(self, part: ServerLoad) -> ServerLoad {
         ServerLoad {
             in_flight: self.in_flight.saturating_sub(part.in_flight),
@@ -85,19 +87,19 @@
     }
 }
 
-/// Key of a server in messages between nodes.
+/// Hash that identifies a server in messages between nodes.
 pub type ServerKey = u32;
 
-/// The key of a server.
+/// The key of the server with this identifier.
 pub fn server_key(id: &str) -> ServerKey {
     let hash = xxhash_rust::xxh3::xxh3_64(id.as_bytes());
     (hash & u64::from(u32::MAX)) as u32
 }
 
-/// The key of a model, or of an adapter, in messages between nodes.
+/// Hash that identifies a model or adapter in messages between nodes.
 pub type ModelKey = u32;
 
-/// The key of a model, or of an adapter of it.
+/// The key of a model, or of one of its adapters.
 pub fn model_key(model: &str, adapter: Option<&str>) -> ModelKey {
     match adapter {
         Some(adapter) => server_key(&format!("{model}/{adapter}")),
@@ -105,24 +107,23 @@
     }
 }
 
-/// Work asked of a model or adapter since the process began.
+/// Demand for a model or adapter, summed since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelDemand {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Time that a server takes to read their prompts, in microseconds.
+    /// Prefill time of their prompts, in microseconds.
     pub prefill_micros: u64,
-    /// Time for which they are likely to hold a slot of a server's batch, in
-    /// microseconds.
+    /// Expected time for which they occupy a slot of a server's batch, in microseconds.
     pub slot_micros: u64,
 }
 
-/// What one request is likely to take of a server.
+/// Expected demand of one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestDemand {
-    /// Time to read its prompt.
+    /// Prefill time of its prompt.
     pub prefill: Duration,
-    /// Time for which it holds a slot of the batch.
+    /// Time for which it occupies a slot of the batch.
     pub slot_time: Duration,
 }
 
@@ -130,99 +131,103 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// How long requests are told to wait for weights.
-const WAIT_TOLD_FOR: Duration = Duration::from_millis(300);
-/// How long a change of demand is told to other nodes.
-const DEMAND_TOLD_FOR: Duration = Duration::from_millis(1200);
+/// How long a request's wait for weights is reported to other nodes.
+const WAIT_REPORTED_FOR: Duration = Duration::from_millis(300);
+/// How long a change of demand is reported to other nodes.
+const DEMAND_REPORTED_FOR: Duration = Duration::from_millis(1200);
 
 #[derive(Clone, Copy, Debug)]
-struct NotedDemand {
+struct RecordedDemand {
     demand: ModelDemand,
-    changed: BootInstant,
+    changed_at: BootInstant,
 }
 
 #[derive(Debug, Default)]
-struct Board {
+struct LoadState {
     servers: HashMap<Arc<str>, ServerLoad>,
-    models: HashMap<ModelKey, NotedDemand>,
-    waited_for: HashMap<ModelKey, BootInstant>,
+    models: HashMap<ModelKey, RecordedDemand>,
+    /// Time of the last wait, by model or adapter.
+    awaited_models: HashMap<ModelKey, BootInstant>,
     in_progress: usize,
 }
 
-/// What this node does, shared by its threads.
+/// Load that this node puts on the servers, and the demand that it receives. Shared by its
+/// threads.
 #[derive(Clone, Debug, Default)]
 pub struct LoadBoard {
-    board: Arc<Mutex<Board>>,
+    state: Arc<Mutex<LoadState>>,
 }
 
 impl LoadBoard {
-    fn lock(&self) -> MutexGuard<'_, Board> {
-        self.board.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, LoadState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Load on one server.
+    /// Load on one server from this node.
     pub fn server_load(&self, server: &str) -> ServerLoad {
         self.lock().servers.get(server).copied().unwrap_or_default()
     }
 
-    /// Load on all servers that have any.
+    /// Load from this node on all servers to which it has requests in flight.
     pub fn server_loads(&self) -> Vec<(ServerKey, ServerLoad)> {
         self.lock().servers.iter().map(|(id, load)| (server_key(id), *load)).collect()
     }
 
-    /// Work asked of models and adapters, where it changed lately.
+    /// Demand for the models and adapters whose demand has changed recently.
     pub fn recent_demand(&self, now: BootInstant) -> Vec<(ModelKey, ModelDemand)> {
-        let board = self.lock();
-        let recent =
-            board.models.iter().filter(|(_, noted)| now.since(noted.changed) < DEMAND_TOLD_FOR);
-        recent.map(|(key, noted)| (*key, noted.demand)).collect()
+        let state = self.lock();
+        let recent = state
+            .models
+            .iter()
+            .filter(|(_, recorded)| now.since(recorded.changed_at) < DEMAND_REPORTED_FOR);
+        recent.map(|(key, recorded)| (*key, recorded.demand)).collect()
     }
 
-    /// Notes that a model or adapter was asked for.
-    pub fn record_demand(&self, key: ModelKey, work: RequestDemand, now: BootInstant) {
-        let fresh = NotedDemand { demand: ModelDemand::default(), changed: now };
-        let mut board = self.lock();
-        let noted = board.models.entry(key).or_insert(fresh);
-        noted.changed = now;
-        noted.demand.requests += 1;
-        noted.demand.prefill_micros += micros(work.prefill);
-        noted.demand.slot_micros += micros(work.slot_time);
+    /// Adds the demand of a request for a model or adapter.
+    pub fn record_demand(&self, key: ModelKey, request: RequestDemand, now: BootInstant) {
+        let new = RecordedDemand { demand: ModelDemand::default(), changed_at: now };
+        let mut state = self.lock();
+        let recorded = state.models.entry(key).or_insert(new);
+        recorded.changed_at = now;
+        recorded.demand.requests += 1;
+        recorded.demand.prefill_micros += micros(request.prefill);
+        recorded.demand.slot_micros += micros(request.slot_time);
     }
 
-    /// Notes that a request waits for a model or adapter.
+    /// Records that a request is waiting for a model or adapter to be loaded.
     pub fn record_wait(&self, key: ModelKey, now: BootInstant) {
-        self.lock().waited_for.insert(key, now);
+        self.lock().awaited_models.insert(key, now);
     }
 
-    /// Models and adapters that requests waited for a moment ago.
+    /// Models and adapters that requests have recently waited for.
     pub fn awaited_models(&self, now: BootInstant) -> Vec<ModelKey> {
-        let mut board = self.lock();
-        board.waited_for.retain(|_, noted| now.since(*noted) < WAIT_TOLD_FOR);
-        board.waited_for.keys().copied().collect()
+        let mut state = self.lock();
+        state.awaited_models.retain(|_, waited_at| now.since(*waited_at) < WAIT_REPORTED_FOR);
+        state.awaited_models.keys().copied().collect()
     }
 
-    /// Requests of clients that this node works on.
+    /// Number of client requests that this node is processing.
     pub fn in_progress(&self) -> usize {
         self.lock().in_progress
     }
 
-    /// Notes a client's request until the guard is dropped.
+    /// Counts a client request as in progress until the guard is dropped.
     pub fn add_in_progress(&self) -> InProgressGuard {
         self.lock().in_progress += 1;
         InProgressGuard { board: self.clone() }
     }
 
-    /// Notes a request at a server until the guard is dropped.
+    /// Counts a request to a server as in flight until the guard is dropped.
     pub fn add_in_flight(&self, server: &Arc<str>, pending: PendingPrefill) -> InFlightGuard {
-        let mut board = self.lock();
-        let load = board.servers.entry(server.clone()).or_default();
+        let mut state = self.lock();
+        let load = state.servers.entry(server.clone()).or_default();
         load.in_flight += 1;
         load.pending = load.pending.plus(pending);
         InFlightGuard { board: self.clone(), server: server.clone(), pending }
     }
 }
 
-/// A client's request in progress.
+/// Counts a client request as in progress until it is dropped.
 #[derive(Debug)]
 pub struct InProgressGuard {
     board: LoadBoard,
@@ -234,7 +239,7 @@
     }
 }
 
-/// A request at a server.
+/// Counts a request to a server as in flight until it is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard {
     board: LoadBoard,
@@ -243,7 +248,7 @@
 }
 
 impl InFlightGuard {
-    /// Notes the first event: the prompt was read.
+    /// Records the first event, at which the prefill of the prompt is complete.
     pub fn record_first_event(&mut self) {
         let pending = std::mem::take(&mut self.pending);
         if pending.is_zero() {
@@ -257,12 +262,12 @@
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let mut board = self.board.lock();
-        let Some(load) = board.servers.get_mut(&self.server) else { return };
+        let mut state = self.board.lock();
+        let Some(load) = state.servers.get_mut(&self.server) else { return };
         load.in_flight -= 1;
         load.pending = load.pending.minus(self.pending);
         if load.in_flight == 0 {
-            board.servers.remove(&self.server);
+            state.servers.remove(&self.server);
         }
     }
 }
--- a/crates/cometmoor-gateway/src/servers.rs
+++ b/crates/cometmoor-gateway/src/servers.rs
@@ -1,5 +1,5 @@
-//! The servers as the traffic thread sees them: the registry's record, what
-//! their answers told, and the connections to them.
+//! The servers from the view of a traffic thread: their registry entries, what their responses
+//! have shown, and the connections to them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,60 +22,61 @@
 use crate::published::{FleetSnapshot, PlacementView};
 use crate::signals::SignalBoard;
 
-/// First pause after a server could not be reached.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
-/// Longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-/// First and longest pause after a server has turned a request away. Without one it is
-/// chosen again at once, since it looks idle: of 708 callers 88 were not served while two
-/// other servers had room.
-const FIRST_SHED_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_SHED_PAUSE: Duration = Duration::from_millis(1600);
-/// Time in which a failure loses half of its weight.
+/// Backoff after the first failure to connect to a server.
+const INITIAL_CONNECT_BACKOFF: Duration = Duration::from_millis(300);
+/// Maximum backoff after failures to connect.
+const MAX_CONNECT_BACKOFF: Duration = Duration::from_secs(2);
+/// Initial and maximum backoff after a server has rejected a request. Without it the server is
+/// selected again at once because it looks idle: 88 of 708 clients were not served while two other
+/// servers had free capacity.
+const INITIAL_REJECTION_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_REJECTION_BACKOFF: Duration = Duration::from_millis(1600);
+/// Time in which the weight of a failure halves.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Weight of the newest answer among the recent ones.
-const NEWEST_WEIGHT: f64 = 0.15;
-/// Time for which a model counts as missing after the server said so: about as
-/// long as its entry may lag behind.
-const MISSING_FOR: Duration = Duration::from_millis(700);
-/// The same at the most, where it says so again and again while its entry tells
-/// otherwise: entries stand still while the store is down. Each such answer
-/// refuses a request that may go to one server only.
-const MISSING_FOR_AT_MOST: Duration = Duration::from_secs(12);
-
-/// A model that a server said it does not hold.
+/// Weight of the newest response in the moving average of failures.
+const NEWEST_RESPONSE_WEIGHT: f64 = 0.15;
+/// Time for which a model counts as missing after the server has reported that it does not hold it:
+/// about the lag of its registry entry.
+const INITIAL_MISSING_TIME: Duration = Duration::from_millis(700);
+/// Maximum of that time when the server keeps reporting it while its entry still lists the model:
+/// entries are not updated while the store is down. Each such response fails a request that may be
+/// sent to one server only.
+const MAX_MISSING_TIME: Duration = Duration::from_secs(12);
+
+/// A server's report that it does not hold a model.
 #[derive(Clone, Copy, Debug)]
-struct Missing {
-    noted: BootInstant,
-    pause: Duration,
+struct MissingModel {
+    reported_at: BootInstant,
+    duration: Duration,
 }
 
-impl Missing {
-    fn first(now: BootInstant) -> Missing {
-        Missing { noted: now, pause: MISSING_FOR }
+impl MissingModel {
+    fn new(now: BootInstant) -> MissingModel {
+        MissingModel { reported_at: now, duration: INITIAL_MISSING_TIME }
     }
 
-    /// Whether the model counts as missing. Where the leader tells that the
-    /// server has just got it, only for as long as that may cross the denial.
-    fn counts(self, now: BootInstant, was_added: bool) -> bool {
-        let pause = if was_added { MISSING_FOR } else { self.pause };
-        now < self.noted + pause
+    /// Whether the model still counts as missing. If the leader has announced that the server
+    /// holds it, the report counts only for as long as it may have crossed that announcement.
+    fn is_valid(self, now: BootInstant, was_added: bool) -> bool {
+        let duration = if was_added { INITIAL_MISSING_TIME } else { self.duration };
+        now < self.reported_at + duration
     }
 
-    /// The server has said so once more, after the model was tried again.
-    fn again(self, now: BootInstant) -> Missing {
-        if self.counts(now, false) {
+    /// The report after the server has repeated it. The time doubles if the model was tried again
+    /// after the previous report had expired.
+    fn repeated(self, now: BootInstant) -> MissingModel {
+        if self.is_valid(now, false) {
             return self;
         }
-        let pause = (self.pause * 2).min(MISSING_FOR_AT_MOST);
-        Missing { noted: now, pause }
+        let duration = (self.duration * 2).min(MAX_MISSING_TIME);
+        MissingModel { reported_at: now, duration }
     }
 }
 
-/// A request whose connection to a server ended before its answer did.
+/// A request whose connection to a server was lost before the response was complete.
 #[derive(Clone, Debug)]
 pub struct InterruptedRequest {
-    /// Its content.
+    /// Fingerprint of its content.
     pub content: Fingerprint,
     /// Identifier of the attempt.
     pub request_id: String,
@@ -86,23 +87,25 @@
     record: RefCell<Arc<ServerRecord>>,
     hash: IncarnationHash,
     signals: SignalBoard,
-    /// Connections to it.
+    /// Connections for requests.
     pub pool: Pool,
-    /// Calls beside the requests.
+    /// Client for calls other than forwarded requests.
     pub call_client: CallClient,
-    gone: Cell<bool>,
-    paused_until: Cell<Option<BootInstant>>,
-    pauses: Cell<u32>,
-    /// Requests in a row that it has turned away, one for each pause.
-    sheds: Cell<u32>,
+    /// Whether the incarnation was replaced or has left the registry.
+    is_removed: Cell<bool>,
+    backoff_until: Cell<Option<BootInstant>>,
+    /// Consecutive failures to connect.
+    connect_failures: Cell<u32>,
+    /// Consecutive rejections, at most one counted for each backoff.
+    rejections: Cell<u32>,
     failure_share: Cell<f64>,
-    failure_noted: Cell<BootInstant>,
-    missing: RefCell<HashMap<ModelKey, Missing>>,
-    /// Requests that broke while it is not known whether the server has ended.
-    broken: RefCell<Vec<InterruptedRequest>>,
-    /// Whether a probe has been answered since the first of them.
+    failure_share_updated: Cell<BootInstant>,
+    missing_models: RefCell<HashMap<ModelKey, MissingModel>>,
+    /// Requests interrupted since the last check whether the server has crashed.
+    interrupted: RefCell<Vec<InterruptedRequest>>,
+    /// Whether a probe has completed since the first of them.
     is_probed: Cell<bool>,
-    probed: Notify,
+    probe_completed: Notify,
 }
 
 impl Server {
@@ -115,16 +118,16 @@
             signals,
             pool,
             call_client,
-            gone: Cell::new(false),
-            paused_until: Cell::new(None),
-            pauses: Cell::new(0),
-            sheds: Cell::new(0),
+            is_removed: Cell::new(false),
+            backoff_until: Cell::new(None),
+            connect_failures: Cell::new(0),
+            rejections: Cell::new(0),
             failure_share: Cell::new(0.0),
-            failure_noted: Cell::new(clock::now()),
-            missing: RefCell::new(HashMap::new()),
-            broken: RefCell::new(Vec::new()),
+            failure_share_updated: Cell::new(clock::now()),
+            missing_models: RefCell::new(HashMap::new()),
+            interrupted: RefCell::new(Vec::new()),
             is_probed: Cell::new(true),
-            probed: Notify::new(),
+            probe_completed: Notify::new(),
         }
     }
 
@@ -133,153 +136,155 @@
         self.hash
     }
 
-    /// What the registry tells.
+    /// Its latest registry entry.
     pub fn record(&self) -> Arc<ServerRecord> {
         self.record.borrow().clone()
     }
 
-    /// Whether it may get new work, by the registry and by its own answers.
+    /// Whether it accepts new requests, according to the registry and its own responses.
     pub fn accepts_requests(&self) -> bool {
         let is_ready = self.record.borrow().state == ServerState::Ready;
-        !self.gone.get() && is_ready && !self.signals.is_leaving(self.hash)
+        !self.is_removed.get() && is_ready && !self.signals.is_leaving(self.hash)
     }
 
-    /// Whether others are preferred: it could not be reached, or turned requests away.
+    /// Whether other servers are preferred because it was unreachable or rejected a request.
     pub fn is_backing_off(&self, now: BootInstant) -> bool {
-        self.paused_until.get().is_some_and(|until| now < until)
+        self.backoff_until.get().is_some_and(|until| now < until)
     }
 
-    /// Share of recent answers that failed.
+    /// Share of recent requests that failed, from 0 to 1, which decays over time.
     pub fn failure_share(&self, now: BootInstant) -> f64 {
-        let age = now.since(self.failure_noted.get());
-        let halves = age.as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
-        self.failure_share.get() * 0.5_f64.powf(halves)
+        let age = now.since(self.failure_share_updated.get());
+        let half_lives = age.as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
+        self.failure_share.get() * 0.5_f64.powf(half_lives)
     }
 
-    fn note(&self, now: BootInstant, failed: f64) {
+    fn update_failure_share(&self, now: BootInstant, failed: f64) {
         let share = self.failure_share(now);
-        self.failure_share.set(share + NEWEST_WEIGHT * (failed - share));
-        self.failure_noted.set(now);
+        self.failure_share.set(share + NEWEST_RESPONSE_WEIGHT * (failed - share));
+        self.failure_share_updated.set(now);
     }
 
-    /// Notes a good answer.
+    /// Records a successful response, which ends any backoff.
     pub fn record_success(&self, now: BootInstant) {
-        self.note(now, 0.0);
-        self.paused_until.set(None);
-        self.pauses.set(0);
-        self.sheds.set(0);
+        self.update_failure_share(now, 0.0);
+        self.backoff_until.set(None);
+        self.connect_failures.set(0);
+        self.rejections.set(0);
     }
 
-    /// Notes an answer that tells of a failure, or a broken one.
+    /// Records an error response or an interrupted one.
     pub fn record_failure(&self, now: BootInstant) {
-        self.note(now, 1.0);
+        self.update_failure_share(now, 1.0);
     }
 
-    /// Notes that it turned a request away, and prefers others for a while.
+    /// Records that it rejected a request, and starts a backoff unless one is in progress.
     pub fn record_rejection(&self, now: BootInstant) {
         if self.is_backing_off(now) {
             return;
         }
-        let pause = FIRST_SHED_PAUSE * (1 << self.sheds.get().min(8));
-        self.sheds.set(self.sheds.get() + 1);
-        self.paused_until.set(Some(now + pause.min(LONGEST_SHED_PAUSE)));
+        let backoff = INITIAL_REJECTION_BACKOFF * (1 << self.rejections.get().min(8));
+        self.rejections.set(self.rejections.get() + 1);
+        self.backoff_until.set(Some(now + backoff.min(MAX_REJECTION_BACKOFF)));
     }
 
-    /// Notes that it could not be reached, and leaves it alone for a while.
+    /// Records a failure to connect: starts a backoff and closes the idle connections.
     pub fn record_unreachable(&self, now: BootInstant) {
-        self.note(now, 1.0);
-        let pause = FIRST_PAUSE * (1 << self.pauses.get().min(4));
-        self.pauses.set(self.pauses.get() + 1);
-        self.paused_until.set(Some(now + pause.min(LONGEST_PAUSE)));
+        self.update_failure_share(now, 1.0);
+        let backoff = INITIAL_CONNECT_BACKOFF * (1 << self.connect_failures.get().min(4));
+        self.connect_failures.set(self.connect_failures.get() + 1);
+        self.backoff_until.set(Some(now + backoff.min(MAX_CONNECT_BACKOFF)));
         self.pool.close_all();
     }
 
-    /// Notes a request that broke; tells whether it is the first since they were taken.
+    /// Records an interrupted request. Returns whether it is the first since the last call of
+    /// [`Server::take_interrupted`].
     pub fn record_interrupted(&self, request: InterruptedRequest) -> bool {
-        let mut broken = self.broken.borrow_mut();
-        broken.push(request);
-        let is_first = broken.len() == 1;
+        let mut interrupted = self.interrupted.borrow_mut();
+        interrupted.push(request);
+        let is_first = interrupted.len() == 1;
         if is_first {
             self.is_probed.set(false);
         }
         is_first
     }
 
-    /// Takes the requests that broke.
+    /// Removes and returns the interrupted requests.
     pub fn take_interrupted(&self) -> Vec<InterruptedRequest> {
-        self.broken.take()
+        self.interrupted.take()
     }
 
-    /// Notes that a probe has told whether the server takes connections.
+    /// Records that a probe has shown whether the server accepts connections.
     pub fn record_probe(&self) {
         self.is_probed.set(true);
-        self.probed.notify_waiters();
+        self.probe_completed.notify_waiters();
     }
 
-    /// Waits until a probe has told whether the server takes connections, where requests
-    /// broke there.
+    /// Waits until a probe has shown whether the server accepts connections. Returns at once unless
+    /// a request was interrupted since the last probe.
     pub async fn wait_for_probe(&self) {
         while !self.is_probed.get() {
-            self.probed.notified().await;
+            self.probe_completed.notified().await;
         }
     }
 
-    /// Notes that the incarnation is no longer at its address.
+    /// Records that the incarnation is no longer at its address.
     pub fn mark_replaced(&self) {
-        self.gone.set(true);
+        self.is_removed.set(true);
         self.pool.close_all();
     }
 
-    /// Notes that the server said it does not hold the model or adapter.
+    /// Records the server's report that it does not hold the model or adapter.
     pub fn record_missing(&self, model: &ModelName, now: BootInstant) {
         let key = model_key(&model.model, model.adapter.as_deref());
-        let mut missing = self.missing.borrow_mut();
-        let known = missing.get(&key).map(|known| known.again(now));
-        missing.insert(key, known.unwrap_or_else(|| Missing::first(now)));
+        let mut missing = self.missing_models.borrow_mut();
+        let repeated = missing.get(&key).map(|known| known.repeated(now));
+        missing.insert(key, repeated.unwrap_or_else(|| MissingModel::new(now)));
     }
 
-    /// Takes its newer entry; what it said before is forgotten where that tells
-    /// of other models.
-    fn take_record(&self, record: &Arc<ServerRecord>) {
+    /// Updates the registry entry. If it lists other models than before, earlier reports of missing
+    /// models are dropped.
+    fn update_record(&self, record: &Arc<ServerRecord>) {
         if self.record.borrow().models != record.models {
-            self.missing.borrow_mut().clear();
+            self.missing_models.borrow_mut().clear();
         }
         self.record.replace(record.clone());
     }
 
-    /// Whether it holds the model, and the adapter where one is named, as far
-    /// as is known.
+    /// Whether it is believed to hold the model, and the adapter if one is named.
     pub fn holds(&self, model: &ModelName, placement: &PlacementView, now: BootInstant) -> bool {
         let record = self.record.borrow();
         let server = server_key(&record.incarnation);
         let base = model_key(&model.model, None);
         let held = record.loaded_model(&model.model);
         let has_base = held.is_some() || placement.added.contains(&(server, base));
-        if !has_base || !self.has(server, base, placement, now) {
+        if !has_base || !self.has_weights(server, base, placement, now) {
             return false;
         }
         let Some(adapter) = &model.adapter else { return true };
         let key = model_key(&model.model, Some(adapter));
-        let told = held.is_some_and(|held| held.adapters.contains(adapter));
-        (told || placement.added.contains(&(server, key))) && self.has(server, key, placement, now)
+        let is_listed = held.is_some_and(|held| held.adapters.contains(adapter));
+        (is_listed || placement.added.contains(&(server, key)))
+            && self.has_weights(server, key, placement, now)
     }
 
-    fn has(
+    /// Whether weights that the registry or the leader lists are neither missing nor withdrawn.
+    fn has_weights(
         &self,
         server: ServerKey,
         key: ModelKey,
         placement: &PlacementView,
         now: BootInstant,
     ) -> bool {
-        let place = (server, key);
-        let was_added = placement.added.contains(&place);
-        let missing = self.missing.borrow().get(&key).copied();
-        let is_missing = missing.is_some_and(|missing| missing.counts(now, was_added));
-        !is_missing && !placement.withdrawn.contains(&place)
+        let held = (server, key);
+        let was_added = placement.added.contains(&held);
+        let missing = self.missing_models.borrow().get(&key).copied();
+        let is_missing = missing.is_some_and(|missing| missing.is_valid(now, was_added));
+        !is_missing && !placement.withdrawn.contains(&held)
     }
 }
 
-/// All servers in the registry.
+/// All servers in the registry, by incarnation and by service.
 pub struct ServerTable {
     signals: SignalBoard,
     generation: u64,
@@ -288,13 +293,14 @@
 }
 
 impl ServerTable {
-    /// A table without servers.
+    /// Creates an empty table.
     pub fn new(signals: SignalBoard) -> ServerTable {
         let (by_incarnation, by_service) = (HashMap::new(), HashMap::new());
         ServerTable { signals, generation: 0, by_incarnation, by_service }
     }
 
-    /// Takes a newer publication in.
+    /// Updates the table from a fleet snapshot, unless it already has that generation. Servers that
+    /// are still in the registry keep their state and connections.
     pub fn update(&mut self, fleet: &FleetSnapshot) {
         if fleet.generation == self.generation {
             return;
@@ -305,7 +311,7 @@
         for record in &fleet.servers {
             let server = match self.by_incarnation.remove(&record.incarnation) {
                 Some(server) => {
-                    server.take_record(record);
+                    server.update_record(record);
                     server
                 }
                 None => Rc::new(Server::new(record.clone(), self.signals.clone())),
@@ -314,19 +320,19 @@
             by_incarnation.insert(record.incarnation.clone(), server);
         }
         for server in self.by_incarnation.values() {
-            server.gone.set(true);
+            server.is_removed.set(true);
             server.pool.close_all();
         }
         self.by_incarnation = by_incarnation;
         self.by_service = by_service;
     }
 
-    /// Servers of a service.
+    /// Servers of a service; empty if it has none.
     pub fn of_service(&self, service: &str) -> &[Rc<Server>] {
         self.by_service.get(service).map(Vec::as_slice).unwrap_or_default()
     }
 
-    /// Closes connections that have rested for too long.
+    /// Closes connections that have been idle for too long.
     pub fn close_idle_connections(&self, now: BootInstant) {
         for server in self.by_incarnation.values() {
             server.pool.close_old(now);
--- a/crates/cometmoor-gateway/tests/servers.rs
+++ b/crates/cometmoor-gateway/tests/servers.rs
@@ -1,4 +1,4 @@
-//! What a node remembers of a server beside its entry.
+//! What a node remembers of a server in addition to its registry entry.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::sync::Arc;
@@ -35,11 +35,10 @@
     table.update(&FleetSnapshot { generation, servers, ..FleetSnapshot::default() });
 }
 
-/// While the store is down, a server's entry goes on to tell of a model that was
-/// unloaded: it is tried again ever more rarely, and at once when a newer entry
-/// tells of other models.
+/// While the store is down, a server's entry still lists a model that was unloaded. Requests for it
+/// are sent there at growing intervals, and again at once when a newer entry lists other models.
 #[test]
-fn a_model_that_a_server_denies_again_and_again_is_tried_ever_more_rarely() {
+fn a_model_repeatedly_reported_missing_is_tried_at_growing_intervals() {
     let mut table = ServerTable::new(SignalBoard::new(Arc::default()));
     publish(&mut table, 1, &["m", "n"]);
     let server = table.of_service("app")[0].clone();
@@ -55,9 +54,9 @@
             server.record_missing(&model, now);
         }
     }
-    assert!((4..=6).contains(&tries), "{tries} tries in 20 s; 28 with a pause of 0.7 s");
+    assert!((4..=6).contains(&tries), "{tries} tries in 20 s; 28 with a fixed interval of 0.7 s");
     let other = ModelName { model: "n".to_owned(), adapter: None };
     assert!(server.holds(&other, &view, now));
     publish(&mut table, 2, &["m"]);
-    assert!(server.holds(&model, &view, now), "its entry is newer");
+    assert!(server.holds(&model, &view, now), "the entry is newer than the report");
 }
