--- a/crates/cometmoor-gateway/src/signals.rs
+++ b/crates/cometmoor-gateway/src/signals.rs
@@ -1,4 +1,4 @@
-//! What servers report of themselves in their answers, shared by the node's threads.
+//! Signals that servers send in their responses, shared by the node's threads.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -13,8 +13,8 @@
 use crate::clock;
 use crate::metrics::Metrics;
 
-/// Shared by the traffic thread, which reads the answers, and the control thread, which
-/// exchanges what they report with other nodes.
+/// The signals of all servers. Traffic threads record them from responses; the control thread
+/// exchanges them with other nodes.
 #[derive(Clone)]
 pub struct SignalBoard {
     table: Arc<Mutex<SignalTable>>,
@@ -22,18 +22,21 @@
 }
 
 impl SignalBoard {
-    /// A node that has heard nothing yet.
+    /// Creates a board without any signals.
     pub fn new(metrics: Arc<Metrics>) -> SignalBoard {
         SignalBoard { table: Arc::default(), metrics }
     }
 
-    fn with<Output>(&self, act: impl FnOnce(&mut SignalTable, BootInstant) -> Output) -> Output {
+    fn with<Output>(
+        &self,
+        operation: impl FnOnce(&mut SignalTable, BootInstant) -> Output,
+    ) -> Output {
         let mut table = self.table.lock().unwrap_or_else(PoisonError::into_inner);
-        act(&mut table, clock::now())
+        operation(&mut table, clock::now())
     }
 
-    /// Takes what an answer says of its server, and whether other nodes are to hear of it.
-    /// `sent` is when its request was.
+    /// Records the signals of a response to a request that was sent at `sent`. Returns whether
+    /// other nodes have to be informed of a change.
     pub fn note_response(
         &self,
         incarnation: &str,
@@ -52,7 +55,7 @@
         is_reported
     }
 
-    /// Takes what another node reports; returns what that changes.
+    /// Merges reports of another node and returns the resulting changes.
     pub fn merge(&self, reports: &[SignalReport]) -> Vec<(IncarnationHash, SignalChange)> {
         if reports.is_empty() {
             return Vec::new();
@@ -60,81 +63,82 @@
         self.with(|table, now| table.merge(reports, now))
     }
 
-    /// What the next message to other nodes carries.
+    /// Reports for the next message to other nodes.
     pub fn next_reports(&self) -> Vec<SignalReport> {
         self.with(SignalTable::next_reports)
     }
 
-    /// What this node knows of one server.
+    /// The report on one server; `None` if nothing is known of it.
     pub fn report(&self, server: IncarnationHash) -> Option<SignalReport> {
         self.with(|table, now| table.report(server, now))
     }
 
-    /// Reports again what a node lacks that has come.
+    /// Schedules all reports for transmission again, for a node that may have joined without them.
     pub fn report_again(&self) {
         self.with(|table, _| table.report_again());
     }
 
-    /// Takes that a server is leaving, by an answer to something else than a request.
+    /// Records that a server is leaving, as learned from something other than a response to a
+    /// forwarded request. `from` names that source in the log.
     pub fn note_leaving(&self, incarnation: &str, from: &str) {
         if self.with(|table, now| table.note_leaving(IncarnationHash::of(incarnation), now)) {
             self.log_change(SignalChange::Leaving, incarnation, "call", from);
         }
     }
 
-    /// Whether a server is leaving by its own word.
+    /// Whether a server has announced that it is leaving.
     pub fn is_leaving(&self, server: IncarnationHash) -> bool {
         self.with(|table, _| table.is_leaving(server))
     }
 
-    /// Why a server gets no request from this node now.
+    /// Why this node sends a server no requests at `now`; `None` if it may send some.
     pub fn hold(&self, server: IncarnationHash, now: BootInstant) -> Option<Hold> {
         self.with(|table, _| table.hold(server, now))
     }
 
-    /// Share of this node's requests that a server takes part in the choice for.
+    /// Share of this node's requests for which a server is a candidate.
     pub fn slow_start_share(&self, server: IncarnationHash, now: BootInstant) -> f64 {
         self.with(|table, _| table.slow_start_share(server, now))
     }
 
-    /// The limit that a server names.
+    /// The limit that a server has set; `None` if it has none.
     pub fn limit(&self, server: IncarnationHash) -> Option<VersionedLimit> {
         self.with(|table, _| table.limit(server))
     }
 
-    /// Notes that a part of a server's limit was granted to this node.
+    /// Records that this node was granted a part of a server's limit.
     pub fn note_granted(&self, server: IncarnationHash) {
         self.with(|table, _| table.note_granted(server));
     }
 
-    /// Notes that a part of a server's limit was denied to one of so many nodes.
+    /// Records that this node, one of `nodes`, was denied a part of a server's limit.
     pub fn note_denied(&self, server: IncarnationHash, nodes: usize, denial: Denial) {
         self.with(|table, now| table.note_denied(server, nodes, denial, now));
     }
 
-    /// Writes a line on a change. `source` is where it was heard, `from` the request or the
-    /// node by which.
+    /// Logs and counts a change. `source` is what it was learned from: `answer`, `call` or `peer`;
+    /// `from` is the request or the node concerned.
     pub fn log_change(&self, change: SignalChange, server: &str, source: &str, from: &str) {
         self.metrics.signal_changed(change.signal(), change.event());
         match change {
             SignalChange::LimitSet(per_second) | SignalChange::LimitChanged(per_second) => {
-                info!("[signals] a server names a limit", kv: { server, per_second, source, from });
+                info!("[signals] a server has set a limit", kv: { server, per_second, source, from });
             }
             SignalChange::LimitLifted => {
-                info!("[signals] a server names no limit any more", kv: { server, source, from });
+                info!("[signals] a server has removed its limit", kv: { server, source, from });
             }
             SignalChange::Leaving => {
-                info!("[signals] a server says that it leaves", kv: { server, source, from });
+                info!("[signals] a server is leaving", kv: { server, source, from });
             }
             SignalChange::RestRequested(rest) => {
                 let rest_millis = rest.as_millis() as u64;
-                info!("[signals] a server asks for a rest", kv: { server, rest_millis, source, from });
+                info!("[signals] a server has requested a rest", kv: { server, rest_millis, source, from });
             }
             SignalChange::RestEnded => {}
         }
     }
 
-    /// Lets time pass.
+    /// Expires rests and outdated signals, and counts the rests that have ended.
     pub fn tick(&self) {
         for _ in self.with(SignalTable::tick) {
             let change = SignalChange::RestEnded;
@@ -142,7 +146,7 @@
         }
     }
 
-    /// Servers under each signal.
+    /// Number of servers with each signal.
     pub fn counts(&self) -> SignalCounts {
         self.with(|table, now| table.counts(now))
     }
