--- a/crates/cometmoor-gateway/tests/signals_spread.rs
+++ b/crates/cometmoor-gateway/tests/signals_spread.rs
@@ -14,10 +14,10 @@
 
 /// Time limit for all nodes to learn that a server is leaving, in milliseconds: it may receive
 /// requests for two seconds.
-const LEAVING_SPREAD_MILLIS: u64 = 2_000;
+const LEAVING_MAX_SPREAD: u64 = 2_000;
 /// Time limit for all nodes to learn of a removed limit, and for a node that joins later or was
 /// partitioned to learn that a server is leaving, in milliseconds.
-const MAX_SPREAD_MILLIS: u64 = 4_000;
+const MAX_SPREAD: u64 = 4_000;
 /// Interval between responses to the node that first sees the change, in milliseconds.
 const RESPONSE_INTERVAL_MILLIS: u64 = 200;
 
@@ -42,7 +42,7 @@
 
 /// Time until `knows` holds for all nodes, in milliseconds; `None` if that takes longer than
 /// `within`. Meanwhile the node in `responses` keeps receiving such responses.
-fn time_until_known(
+fn spread_time(
     world: &mut World,
     within: u64,
     responses: Option<(SocketAddrV4, ResponseSignals)>,
@@ -73,7 +73,7 @@
         let mut world = fleet(nodes, 7);
         let first = *world.nodes.keys().next().unwrap();
         receive_response(&mut world, first, leaving());
-        let after = time_until_known(&mut world, LEAVING_SPREAD_MILLIS, None, |_, signals| {
+        let after = spread_time(&mut world, LEAVING_MAX_SPREAD, None, |_, signals| {
             signals.is_leaving(server())
         });
         println!("{nodes} nodes: all know that a server is leaving after {after:?} ms");
@@ -90,9 +90,8 @@
         receive_response(&mut world, first, leaving());
         world.run(20);
         world.start(nodes..nodes + 1);
-        let after = time_until_known(&mut world, MAX_SPREAD_MILLIS, None, |_, signals| {
-            signals.is_leaving(server())
-        });
+        let after =
+            spread_time(&mut world, MAX_SPREAD, None, |_, signals| signals.is_leaving(server()));
         println!("{nodes} nodes: one that joins knows after {after:?} ms");
         assert!(after.is_some(), "{nodes} nodes");
     }
@@ -107,9 +106,8 @@
     receive_response(&mut world, first, leaving());
     world.run(8);
     world.isolated_zone = None;
-    let after = time_until_known(&mut world, MAX_SPREAD_MILLIS, None, |_, signals| {
-        signals.is_leaving(server())
-    });
+    let after =
+        spread_time(&mut world, MAX_SPREAD, None, |_, signals| signals.is_leaving(server()));
     println!("a zone knows {after:?} ms after its partition has ended");
     assert!(after.is_some());
 }
@@ -126,7 +124,7 @@
         addresses.iter().for_each(|node| receive_response(&mut world, *node, limited));
         world.run(1);
         let removal = (addresses[0], ResponseSignals::default());
-        let after = time_until_known(&mut world, MAX_SPREAD_MILLIS, Some(removal), |_, signals| {
+        let after = spread_time(&mut world, MAX_SPREAD, Some(removal), |_, signals| {
             signals.limit(server()).is_none()
         });
         println!("{nodes} nodes: all know that a limit was removed after {after:?} ms");
