--- a/crates/cometmoor-gateway/src/control/campaign.rs
+++ b/crates/cometmoor-gateway/src/control/campaign.rs
@@ -1,4 +1,4 @@
-//! Gets and keeps the lease under which one node leads.
+//! Campaigns for leadership: acquires and renews the lease under which one node is the leader.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,86 +14,88 @@
 use crate::published::Phase;
 use crate::store::{InEra, StoreError};
 
-/// Silence of the leading node after which others try.
-const SILENCE: Duration = Duration::from_millis(1500);
-/// Time for the store to tell who led.
-const READ_TIME: Duration = Duration::from_millis(600);
-/// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(200);
-/// Longest random pause before a try, so that nodes rarely try together.
-const MOST_JITTER_MILLIS: u64 = 600;
-/// Part of the lease after which it is renewed.
-const RENEWAL_PART: u32 = 3;
+/// Time since the last message of the leader after which other nodes try to replace it.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time limit for reading the leadership keys.
+const READ_TIMEOUT: Duration = Duration::from_millis(600);
+/// Interval between checks whether to campaign.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum random delay before an attempt, so that nodes rarely make one at the same time.
+const MAX_JITTER_MILLIS: u64 = 600;
+/// The lease divided by this is the renewal interval.
+const RENEWAL_DIVISOR: u32 = 3;
 
-/// Campaigns, renews, and campaigns again. The first try of a process in a
-/// fleet that ran before is made at once, for this node may have led until a
-/// moment ago, and so is one after the store has lost this node's lease.
+/// Campaigns, renews the lease while this node is the leader, and campaigns again. The first
+/// attempt of a process in a fleet that has run before is made at once, because this node may have
+/// been the leader until shortly before; so is the attempt after the store has lost the lease.
 pub async fn run(leader: Rc<Leader>, lease: Duration) {
     while leader.context().board.fleet.load().phase != Phase::Ready {
-        clock::sleep(LOOK / 4).await;
+        clock::sleep(CHECK_INTERVAL / 4).await;
     }
-    let mut only_own = !leader.context().settings.fresh_fleet;
+    let mut immediate = !leader.context().settings.fresh_fleet;
     loop {
-        if !only_own && !is_time(&leader).await {
+        if !immediate && !is_time_to_campaign(&leader).await {
             continue;
         }
-        match campaign(&leader, lease, only_own).await {
+        match campaign(&leader, lease, immediate).await {
             Ok(Some(mut term)) => {
-                let end = term.keep(&leader, lease / RENEWAL_PART).await;
+                let end = term.hold(&leader, lease / RENEWAL_DIVISOR).await;
                 match end {
-                    TermEnd::Over => leader.lost(),
-                    TermEnd::StoreLoss => leader.lost_by_store(term.lease.era),
+                    TermEnd::Ended => leader.resign(),
+                    TermEnd::StoreLoss => leader.record_store_loss(term.lease.era),
                 }
-                only_own = end == TermEnd::StoreLoss;
+                immediate = end == TermEnd::StoreLoss;
             }
-            Ok(None) => only_own = false,
-            Err(_) => clock::sleep(LOOK).await,
+            Ok(None) => immediate = false,
+            Err(_) => clock::sleep(CHECK_INTERVAL).await,
         }
     }
 }
 
-/// Waits a moment; whether this node should try to lead then.
-async fn is_time(leader: &Leader) -> bool {
-    clock::sleep(LOOK).await;
-    if !should_try(leader) {
+/// Waits for the check interval and, if there is no leader, for a random delay. Returns whether
+/// this node should campaign then.
+async fn is_time_to_campaign(leader: &Leader) -> bool {
+    clock::sleep(CHECK_INTERVAL).await;
+    if !should_campaign(leader) {
         return false;
     }
-    let jitter = rand::random_range(0..MOST_JITTER_MILLIS);
+    let jitter = rand::random_range(0..MAX_JITTER_MILLIS);
     clock::sleep(Duration::from_millis(jitter)).await;
-    should_try(leader)
+    should_campaign(leader)
 }
 
-fn should_try(leader: &Leader) -> bool {
+fn should_campaign(leader: &Leader) -> bool {
     let fleet = leader.context().board.fleet.load();
     fleet.phase == Phase::Ready
         && fleet.reads_store
-        && fleet.leader_heard.is_none_or(|heard| clock::elapsed(heard) > SILENCE)
+        && fleet.leader_heard.is_none_or(|heard| clock::elapsed(heard) > LEADER_TIMEOUT)
 }
 
-/// Looks who led last and writes the leader's keys under a new lease, if this
-/// node may. Returns the term; an error where the store did not tell.
+/// Reads the leadership keys and, if this node may become the leader, writes them under a new
+/// lease. An immediate attempt is made only if no orders of another node may still arrive. Returns
+/// the term, `None` if it was not acquired, or an error if the keys could not be read.
 async fn campaign(
     leader: &Leader,
     lifetime: Duration,
-    only_own: bool,
+    immediate: bool,
 ) -> Result<Option<Term>, StoreError> {
-    let found = leader.context().store.read_within(LEADERSHIP_PREFIX, READ_TIME).await?;
-    let era = found.position.era;
+    let read = leader.context().store.read_within(LEADERSHIP_PREFIX, READ_TIMEOUT).await?;
+    let era = read.position.era;
     let keys = LeadershipKeys::of(era);
-    let holder = found.items.get(&keys.holder);
-    let last = found.items.get(&keys.last);
+    let holder = read.items.get(&keys.holder);
+    let last = read.items.get(&keys.last);
     let holder_name = holder.map(|item| String::from_utf8_lossy(&item.value));
     let last_leader = last.map(|item| decode_last(&item.value));
-    let standing = LeadershipState {
+    let state = LeadershipState {
         holder: holder_name.as_deref(),
         last: last_leader.as_ref().map(|(name, _)| name.as_str()),
         last_has_waited: last_leader.as_ref().is_some_and(|(_, has_waited)| *has_waited),
     };
-    let knowledge = leader.candidate_context(era);
-    let Some(predecessor) = candidacy(&leader.identity(), &standing, knowledge) else {
+    let candidate_context = leader.candidate_context(era);
+    let Some(predecessor) = candidacy(&leader.identity(), &state, candidate_context) else {
         return Ok(None);
     };
-    if only_own && predecessor.may_still_order() {
+    if immediate && predecessor.may_still_order() {
         return Ok(None);
     }
     let revision = |item: Option<&MirroredItem>| item.map_or(0, |item| item.revision);
@@ -103,7 +105,7 @@
     Ok(acquire(leader, lifetime, candidate).await)
 }
 
-/// A node that may lead, by what the store told in an era.
+/// A candidacy that the store's state in an era allows.
 struct Candidate {
     era: StoreEra,
     keys: LeadershipKeys,
@@ -122,18 +124,18 @@
     let puts =
         vec![(keys.holder.clone(), identity.into_bytes(), lease.id), (keys.last.clone(), last, 0)];
     let committed = store.commit(&Commit { conditions, puts }).await;
-    let is_of_one_era = |committed: &InEra<Committed>| committed.era == era && lease.era == era;
+    let is_same_era = |committed: &InEra<Committed>| committed.era == era && lease.era == era;
     match committed {
-        Ok(committed) if !is_of_one_era(&committed) => None,
+        Ok(committed) if !is_same_era(&committed) => None,
         Ok(InEra { content: Committed::Done(revision), .. }) => {
-            leader.acquired(era.fencing_token(revision), sent, predecessor);
-            Some(Term { lease, keys, revision, has_noted_wait: has_waited })
+            leader.record_acquired(era.fencing_token(revision), sent, predecessor);
+            Some(Term { lease, keys, revision, is_wait_recorded: has_waited })
         }
         Ok(InEra { content: Committed::Conflict | Committed::LeaseOver, .. }) => {
             let _ = store.end_lease(lease).await;
             None
         }
-        // Whether the keys were written is not known; the lease runs out.
+        // It is unknown whether the keys were written; the lease expires by itself.
         Err(_) => None,
     }
 }
--- a/crates/cometmoor-gateway/src/control/leader/calls.rs
+++ b/crates/cometmoor-gateway/src/control/leader/calls.rs
@@ -1,4 +1,4 @@
-//! Reports and orders on their way to servers.
+//! Calls to servers: requests for reports, and orders.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -8,104 +8,109 @@
 use cometmoor_core::time::Timestamp;
 use spdlog::{info, warn};
 
-use super::engine::{note_accepted, server_report};
+use super::engine::{record_accepted_order, server_report};
 use super::{Leader, ORDER_TIMEOUT};
 use crate::clock;
 use crate::dialect::{EngineReport, ModelName, Order, OrderAnswer, OrderKind};
 use crate::http::client::{Answer, CallClient, CallError};
 
-/// Time that a server takes to bring in an adapter.
-const ADAPTER_TAKES: Duration = Duration::from_millis(25);
+/// Time that a server takes to load an adapter.
+const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(25);
 
 impl Leader {
-    /// Tells all nodes that a server has got weights.
+    /// Announces to all nodes that a server holds weights.
     fn announce(&self, server: &Arc<str>, weights: &Weights) {
         let now = self.now();
-        self.state.borrow_mut().announcements.came(server, weights, now);
+        self.state.borrow_mut().announcements.record_added(server, weights, now);
     }
 
-    /// Asks a server for its state.
+    /// Requests a report from a server in a new task.
     pub(super) fn spawn_report(self: &Rc<Leader>, id: Arc<str>) {
         let Some((client, server)) = self.begin_call(&id) else { return };
         let leader = self.clone();
         actix_rt::spawn(async move {
-            let asked = leader.now();
+            let requested_at = leader.now();
             let call = leader.context.dialect.report(&server);
             let result = client.call(&call, ORDER_TIMEOUT).await;
             leader.note_leaving(&id, result.as_ref().ok());
             let report = result.map_err(|error| error.to_string()).and_then(|answer| {
                 leader.context.dialect.parse_report(&answer).map_err(|error| error.to_string())
             });
-            leader.take_report(&id, report, asked);
+            leader.apply_report(&id, report, requested_at);
             leader.context.plan_wanted.notify_one();
         });
     }
 
-    /// Notes that an incarnation is being called; tells its connections, and the
-    /// identifier by which it is addressed.
+    /// Marks an incarnation as being called. Returns its client and the identifier by which calls
+    /// address the server; `None` if the incarnation is unknown.
     fn begin_call(&self, id: &Arc<str>) -> Option<(Rc<CallClient>, Arc<str>)> {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let engine = state.engines.get_mut(id)?;
-        engine.calling = true;
-        engine.asked = Some(now);
+        engine.call_in_progress = true;
+        engine.last_call = Some(now);
         Some((engine.client.clone(), engine.record.id.clone()))
     }
 
-    /// Takes that a server is leaving from its answer to a call. Whether it has a limit is told
-    /// by answers to requests only.
-    fn note_leaving(&self, incarnation: &str, answer: Option<&Answer>) {
-        let facts = answer.map(|answer| self.context.dialect.answer_facts(&answer.head));
+    /// Records that a server is leaving if its response to a call says so. Limits are signaled in
+    /// responses to forwarded requests only.
+    fn note_leaving(&self, incarnation: &str, response: Option<&Answer>) {
+        let facts = response.map(|response| self.context.dialect.answer_facts(&response.head));
         if facts.and_then(|facts| facts.signals).is_some_and(|signals| signals.is_leaving) {
             self.context.signals.note_leaving(incarnation, &self.context.settings.node);
         }
     }
 
-    fn take_report(&self, id: &Arc<str>, report: Result<EngineReport, String>, asked: Timestamp) {
+    fn apply_report(
+        &self,
+        id: &Arc<str>,
+        report: Result<EngineReport, String>,
+        requested_at: Timestamp,
+    ) {
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         let Some(engine) = state.engines.get_mut(id) else { return };
-        engine.calling = false;
+        engine.call_in_progress = false;
         match report {
-            Ok(report) if engine.is_of_another_life(&report) => {
-                engine.note_other_life(&report);
+            Ok(report) if engine.is_from_other_incarnation(&report) => {
+                engine.record_other_incarnation(&report);
                 let (server, born) = (&**id, report.started_unix_ms.unwrap_or_default());
-                warn!("[leader] a report is of another life of the server", kv: { step = "report", server, born });
+                warn!("[leader] a report is from another incarnation of the server", kv: { step = "report", server, born });
             }
             Ok(report) => {
                 engine.in_host_memory = report.in_host_memory.iter().cloned().collect();
                 engine.on_disk = report.on_disk.iter().cloned().collect();
                 let loading = engine.loading();
-                engine.ledger.record_report(server_report(&report), asked);
+                engine.ledger.record_report(server_report(&report), requested_at);
                 if let Some(weights) = loading.filter(|weights| engine.holds(weights)) {
-                    state.announcements.came(id, &weights, asked);
+                    state.announcements.record_added(id, &weights, requested_at);
                 }
             }
             Err(reason) => {
                 let server = &**id;
-                warn!("[leader] a server did not tell its state", kv: { step = "report", server, reason });
+                warn!("[leader] a server did not report its state", kv: { step = "report", server, reason });
             }
         }
     }
 
-    /// Sends an order that is likely to keep the server busy for as long as it
-    /// `takes`.
-    pub(super) fn first_order(
+    /// Records a new order in the ledger and sends it. The server is expected to be busy with it for
+    /// `expected_duration`.
+    pub(super) fn start_order(
         self: &Rc<Leader>,
         id: Arc<str>,
         order: ServerOrder,
         expected_count: u64,
-        takes: Duration,
+        expected_duration: Duration,
         token: u64,
     ) {
         if let Some(engine) = self.state.borrow_mut().engines.get_mut(&id) {
-            engine.ledger.record_sent(&order, expected_count, takes);
+            engine.ledger.record_sent(&order, expected_count, expected_duration);
         }
-        self.repeat_order(id, order, expected_count, token);
+        self.spawn_order(id, order, expected_count, token);
     }
 
-    /// Sends an order that the ledger has noted.
-    pub(super) fn repeat_order(
+    /// Sends an order that is recorded in the ledger, in a new task.
+    pub(super) fn spawn_order(
         self: &Rc<Leader>,
         id: Arc<str>,
         order: ServerOrder,
@@ -118,10 +123,10 @@
             let result =
                 leader.send_order(&client, &id, &server, &order, expected_count, token).await;
             let accepted = matches!(result, Ok(OrderAnswer::Accepted));
-            leader.take_order_answer(&id, &order, result, token);
+            leader.apply_order_result(&id, &order, result, token);
             if accepted && order.loads_adapter() {
                 leader.context.plan_wanted.notify_one();
-                clock::sleep(ADAPTER_TAKES).await;
+                clock::sleep(ADAPTER_LOAD_TIME).await;
                 leader.announce(&id, &order.weights);
             }
             leader.context.plan_wanted.notify_one();
@@ -152,15 +157,15 @@
             holder: &self.context.settings.node,
             fencing_token: token,
         });
-        // Between the plan and the connection the lease may have lapsed, most of
-        // all on a machine that was slow or frozen meanwhile.
+        // The lease may have expired between the plan and the connection, in particular if the
+        // machine was slow or suspended in between.
         let may_order = || self.leadership.borrow().fencing_token(self.now()) == Some(token);
         let answer = client.call_if(&call, ORDER_TIMEOUT, may_order).await?;
         self.note_leaving(incarnation, Some(&answer));
         Ok(self.context.dialect.parse_order(&answer))
     }
 
-    fn take_order_answer(
+    fn apply_order_result(
         &self,
         id: &Arc<str>,
         order: &ServerOrder,
@@ -172,23 +177,23 @@
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         let Some(engine) = state.engines.get_mut(id) else { return };
-        engine.calling = false;
+        engine.call_in_progress = false;
         match result {
             Ok(OrderAnswer::Accepted) => {
                 engine.ledger.record_accepted(now);
-                note_accepted(engine, order, now);
+                record_accepted_order(engine, order, now);
                 if order.action == Action::Unload {
-                    state.announcements.goes(id, &order.weights, now);
+                    state.announcements.record_withdrawn(id, &order.weights, now);
                 }
             }
             Ok(OrderAnswer::AlreadyDone) => {
                 engine.ledger.record_already_done(now);
                 match order.action {
-                    Action::Load => state.announcements.came(id, &order.weights, now),
-                    Action::Unload => state.announcements.goes(id, &order.weights, now),
+                    Action::Load => state.announcements.record_added(id, &order.weights, now),
+                    Action::Unload => state.announcements.record_withdrawn(id, &order.weights, now),
                 }
             }
-            Ok(OrderAnswer::OtherServer) => engine.replaced = true,
+            Ok(OrderAnswer::OtherServer) => engine.is_replaced = true,
             Ok(OrderAnswer::Conflict | OrderAnswer::Fenced | OrderAnswer::Refused(_)) | Err(_) => {
                 engine.ledger.record_unknown_outcome();
             }
@@ -208,11 +213,11 @@
     match result {
         Ok(answer) => {
             let outcome = format!("{answer:?}");
-            info!("[leader] an order was answered", kv: { server, action, model, adapter, token, outcome });
+            info!("[leader] a server has answered an order", kv: { server, action, model, adapter, token, outcome });
         }
         Err(error) => {
             let reason = error.to_string();
-            warn!("[leader] an order is in doubt", kv: { step = "order", server, action, model, adapter, token, reason });
+            warn!("[leader] the outcome of an order is unknown", kv: { step = "order", server, action, model, adapter, token, reason });
         }
     }
 }
--- a/crates/cometmoor-gateway/src/control/leader/engine.rs
+++ b/crates/cometmoor-gateway/src/control/leader/engine.rs
@@ -1,4 +1,4 @@
-//! What the leader knows of one server.
+//! The leader's state of one server.
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -13,26 +13,29 @@
 use crate::dialect::EngineReport;
 use crate::http::client::CallClient;
 
-/// Adapters that a server brings in at once.
-const MOST_ADAPTERS_ON_THEIR_WAY: usize = 4;
-/// Time for which an adapter may be on its way.
-const ADAPTER_ON_ITS_WAY: Duration = Duration::from_millis(80);
+/// Number of adapters that a server loads concurrently.
+const MAX_PENDING_ADAPTERS: usize = 4;
+/// Time after its order for which an adapter counts as being loaded.
+const ADAPTER_PENDING_TIME: Duration = Duration::from_millis(80);
 
-/// What the leader keeps of one server.
+/// The leader's state of one incarnation of a server.
 pub(super) struct Engine {
     pub(super) record: Arc<ServerRecord>,
     pub(super) ledger: ServerLedger,
     pub(super) client: Rc<CallClient>,
-    pub(super) calling: bool,
-    pub(super) asked: Option<Timestamp>,
+    pub(super) call_in_progress: bool,
+    /// When the last call was started.
+    pub(super) last_call: Option<Timestamp>,
     pub(super) in_host_memory: BTreeSet<String>,
     pub(super) on_disk: BTreeSet<String>,
-    pub(super) loaded: HashMap<String, Timestamp>,
-    pub(super) replaced: bool,
-    /// Model for which room is being made.
-    pub(super) promised: Option<String>,
-    /// When the adapters were ordered that may be on their way.
-    adapters_ordered: Vec<Timestamp>,
+    /// When the load of a model was accepted, by model.
+    pub(super) load_times: HashMap<String, Timestamp>,
+    /// Whether another incarnation runs at the address, so that this one gets no more orders.
+    pub(super) is_replaced: bool,
+    /// Model for which memory is being freed.
+    pub(super) pending_load: Option<String>,
+    /// When the adapters that may still be loading were ordered.
+    adapter_orders: Vec<Timestamp>,
 }
 
 impl Engine {
@@ -42,18 +45,18 @@
             record,
             ledger: ServerLedger::default(),
             client,
-            calling: false,
-            asked: None,
+            call_in_progress: false,
+            last_call: None,
             in_host_memory: BTreeSet::new(),
             on_disk: BTreeSet::new(),
-            loaded: HashMap::new(),
-            replaced: false,
-            promised: None,
-            adapters_ordered: Vec::new(),
+            load_times: HashMap::new(),
+            is_replaced: false,
+            pending_load: None,
+            adapter_orders: Vec::new(),
         }
     }
 
-    pub(super) fn take_record(&mut self, record: &Arc<ServerRecord>, now: Timestamp) {
+    pub(super) fn update_record(&mut self, record: &Arc<ServerRecord>, now: Timestamp) {
         self.record = record.clone();
         let models = record.models.iter().map(|held| held.name.clone()).collect();
         self.ledger.record_registry(&models, now);
@@ -63,83 +66,87 @@
         }
     }
 
-    /// Whether a report is known to be of an earlier or later life of the server than
-    /// the entry tells of.
-    pub(super) fn is_of_another_life(&self, report: &EngineReport) -> bool {
+    /// Whether a report is known to be from another incarnation of the server than the registry
+    /// entry.
+    pub(super) fn is_from_other_incarnation(&self, report: &EngineReport) -> bool {
         match (self.record.started_unix_ms, report.started_unix_ms) {
-            (Some(known), Some(told)) => known != told,
+            (Some(registered), Some(reported)) => registered != reported,
             _ => false,
         }
     }
 
-    /// Takes in that the server reports another life. Where that is a later one, this
-    /// one is over: it is ordered nothing more. A report of an earlier one is old.
-    pub(super) fn note_other_life(&mut self, report: &EngineReport) {
-        self.replaced |= report.started_unix_ms > self.record.started_unix_ms;
+    /// Records a report from another incarnation. If that one is later, this incarnation has ended
+    /// and gets no more orders. A report from an earlier one is outdated.
+    pub(super) fn record_other_incarnation(&mut self, report: &EngineReport) {
+        self.is_replaced |= report.started_unix_ms > self.record.started_unix_ms;
     }
 
-    /// Takes one of the places for adapters on their way, if there is one left.
-    pub(super) fn take_adapter_place(&mut self, now: Timestamp) -> bool {
-        self.adapters_ordered.retain(|ordered| now.since(*ordered) < ADAPTER_ON_ITS_WAY);
-        let has_place = self.adapters_ordered.len() < MOST_ADAPTERS_ON_THEIR_WAY;
-        if has_place {
-            self.adapters_ordered.push(now);
+    /// Counts one more adapter load if the limit on concurrent ones allows it. Returns whether it
+    /// does.
+    pub(super) fn try_add_adapter_load(&mut self, now: Timestamp) -> bool {
+        self.adapter_orders.retain(|ordered_at| now.since(*ordered_at) < ADAPTER_PENDING_TIME);
+        let is_allowed = self.adapter_orders.len() < MAX_PENDING_ADAPTERS;
+        if is_allowed {
+            self.adapter_orders.push(now);
         }
-        has_place
+        is_allowed
     }
 
-    /// Model that it is ordered to load.
+    /// The model of an open load order.
     pub(super) fn loading(&self) -> Option<Weights> {
         let order = self.ledger.open_order()?;
         let loads_model = order.action == Action::Load && order.weights.adapter.is_none();
         loads_model.then(|| order.weights.clone())
     }
 
-    /// Whether it holds the weights for certain, with no order open for them.
+    /// Whether it is known to hold the weights and no order is open.
     pub(super) fn holds(&self, weights: &Weights) -> bool {
         self.ledger.held().contains(weights) && self.ledger.open_order().is_none()
     }
 }
 
-/// Weights that are about to be taken off a server.
+/// An unload that has been announced and is not yet ordered.
 pub(super) struct Withdrawal {
     pub(super) server: Arc<str>,
     pub(super) order: ServerOrder,
-    pub(super) since: Timestamp,
+    pub(super) announced_at: Timestamp,
 }
 
-/// Notes what an accepted order changes beside the ledger.
-pub(super) fn note_accepted(engine: &mut Engine, order: &ServerOrder, now: Timestamp) {
+/// Records what an accepted order changes in addition to the ledger.
+pub(super) fn record_accepted_order(engine: &mut Engine, order: &ServerOrder, now: Timestamp) {
     if order.weights.adapter.is_some() {
         return;
     }
     match order.action {
         Action::Load => {
-            engine.loaded.insert(order.weights.model.clone(), now);
+            engine.load_times.insert(order.weights.model.clone(), now);
             engine.on_disk.insert(order.weights.model.clone());
         }
         Action::Unload => {
-            engine.loaded.remove(&order.weights.model);
+            engine.load_times.remove(&order.weights.model);
         }
     }
 }
 
-/// Weights that are about to be taken off the server, or are being taken off.
-pub(super) fn leaving_weights(engine: &Engine, withdrawals: &[Withdrawal]) -> Option<Weights> {
-    let announced = withdrawals.iter().find(|known| known.server == engine.record.incarnation);
-    let order = announced.map(|known| &known.order).or_else(|| engine.ledger.open_order())?;
+/// Weights whose unload from the server has been announced or ordered.
+pub(super) fn unloading_weights(engine: &Engine, withdrawals: &[Withdrawal]) -> Option<Weights> {
+    let announced =
+        withdrawals.iter().find(|withdrawal| withdrawal.server == engine.record.incarnation);
+    let order =
+        announced.map(|withdrawal| &withdrawal.order).or_else(|| engine.ledger.open_order())?;
     (order.action == Action::Unload).then(|| order.weights.clone())
 }
 
-/// Models that the server got lately.
-pub(super) fn fresh_models(engine: &Engine, now: Timestamp) -> BTreeSet<String> {
-    let fresh = engine.loaded.iter().filter(|(_, loaded)| now.since(**loaded) < MIN_RESIDENCY);
-    fresh.map(|(model, _)| model.clone()).collect()
+/// Models loaded too recently to be unloaded again.
+pub(super) fn recently_loaded(engine: &Engine, now: Timestamp) -> BTreeSet<String> {
+    let recent =
+        engine.load_times.iter().filter(|(_, loaded_at)| now.since(**loaded_at) < MIN_RESIDENCY);
+    recent.map(|(model, _)| model.clone()).collect()
 }
 
-/// What the server holds, and what it holds or may come to hold. Of one that is
-/// busy with the orders of the leader before, the registry tells.
-pub(super) fn believed_weights(engine: &Engine) -> (BTreeSet<Weights>, BTreeSet<Weights>) {
+/// Weights that the server holds, and weights that it holds or may hold. While its ledger is
+/// unknown, because it is busy with orders of the previous leader, they come from the registry.
+pub(super) fn held_and_reserved_weights(engine: &Engine) -> (BTreeSet<Weights>, BTreeSet<Weights>) {
     if engine.ledger.is_known() {
         return (engine.ledger.held().clone(), engine.ledger.reserved());
     }
@@ -151,7 +158,7 @@
     (held.clone(), held)
 }
 
-/// A report in the ledger's terms; adapters under way count as held.
+/// Converts a report for the ledger; adapters that are being loaded count as held.
 pub(super) fn server_report(report: &EngineReport) -> ServerReport {
     let mut held = BTreeSet::new();
     for model in &report.models {
--- a/crates/cometmoor-gateway/src/control/leader/mod.rs
+++ b/crates/cometmoor-gateway/src/control/leader/mod.rs
@@ -1,4 +1,4 @@
-//! Orders the servers while this node leads.
+//! The leader: plans and sends orders to the servers while this node holds the lease.
 
 mod announcements;
 mod calls;
@@ -28,36 +28,39 @@
 use spdlog::{info, warn};
 
 use self::announcements::Announcements;
-use self::engine::{Engine, Withdrawal, believed_weights, fresh_models, leaving_weights};
+use self::engine::{
+    Engine, Withdrawal, held_and_reserved_weights, recently_loaded, unloading_weights,
+};
 use super::ControlContext;
 use super::fleet::{FleetState, GetDemand, GetPeersReachingStore, SetPlacement};
 use crate::clock;
 use crate::load::model_key;
 use crate::membership::Placement;
 
-/// Time that an order may be on its way.
+/// Time after which an order that has not been answered is given up.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Shortest pause, where rounds are asked for before they are due.
-const SHORTEST_ROUND: Duration = Duration::from_millis(10);
-/// Pause between two questions to one server.
-const REPORT_PAUSE: Duration = Duration::from_millis(150);
-/// Time that most unloads take: the server ends what it runs first.
-const UNLOAD_TAKES: Duration = Duration::from_millis(150);
-/// Time without a new server after which the fleet counts as known.
-const SETTLED_AFTER: Duration = Duration::from_millis(1800);
-/// The same in a fleet that was led before.
-const SETTLED_AGAIN_AFTER: Duration = Duration::from_millis(500);
-/// Time of leading after which orders do not wait for the fleet to be known.
-const SETTLE_AT_MOST: Duration = Duration::from_secs(6);
-/// Time after a fleet's first start for which a store that knows of no leader had none: the
-/// first one comes at once, unless the store fails.
-const FLEET_IS_FRESH_FOR: Duration = Duration::from_secs(5);
-/// More quiet than the bound asks for, between the orders of two nodes.
-const QUIET_SLACK: Duration = Duration::from_millis(400);
+/// Minimum time between two rounds, which may be requested before they are due.
+const MIN_ROUND_INTERVAL: Duration = Duration::from_millis(10);
+/// Minimum time from a call to a server until a report is requested or an order is sent again.
+const REPORT_INTERVAL: Duration = Duration::from_millis(150);
+/// Time that most unloads take: the server completes its running requests first.
+const UNLOAD_TIME: Duration = Duration::from_millis(150);
+/// Time without a new server after which all servers count as known, in a fleet that had no leader
+/// before.
+const INITIAL_SETTLE_TIME: Duration = Duration::from_millis(1800);
+/// The same in a fleet that has had a leader.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
+/// Time as leader after which orders no longer wait until all servers count as known.
+const MAX_SETTLE_TIME: Duration = Duration::from_secs(6);
+/// Time after the first start of a fleet in which a store without a record of a leader has never
+/// had one: the first leader is elected at once, unless the store fails.
+const NEW_FLEET_TIME: Duration = Duration::from_secs(5);
+/// Margin that the handover delay, the time between the orders of two nodes, adds to the lease.
+const HANDOVER_MARGIN: Duration = Duration::from_millis(400);
 
 #[derive(Default)]
 struct LeaderState {
-    acquired: Timestamp,
+    acquired_at: Timestamp,
     /// By incarnation.
     engines: HashMap<Arc<str>, Engine>,
     withdrawals: Vec<Withdrawal>,
@@ -68,61 +71,63 @@
 }
 
 impl LeaderState {
-    /// Whether the servers that are known are likely to be all there are. In a
-    /// fleet that was led before, they have registered long ago.
+    /// Whether the known servers are probably all servers. In a fleet that has had a leader, they
+    /// registered long ago.
     fn is_settled(&self, predecessor: Predecessor, now: Timestamp) -> bool {
-        let rest = match predecessor {
-            Predecessor::Nobody => SETTLED_AFTER,
+        let settle_time = match predecessor {
+            Predecessor::Nobody => INITIAL_SETTLE_TIME,
             Predecessor::SameNode
             | Predecessor::OwnTerm
             | Predecessor::OtherNode
-            | Predecessor::Unknown => SETTLED_AGAIN_AFTER,
+            | Predecessor::Unknown => SETTLE_TIME,
         };
-        let quiet = self.last_new_server.is_some_and(|new| now.since(new) >= rest);
-        quiet || self.first_round.is_some_and(|first| now.since(first) >= SETTLE_AT_MOST)
+        let is_stable =
+            self.last_new_server.is_some_and(|registered| now.since(registered) >= settle_time);
+        is_stable || self.first_round.is_some_and(|first| now.since(first) >= MAX_SETTLE_TIME)
     }
 
-    /// What nodes are to know; weights go for as long as their unload is open.
+    /// The placement to announce. Weights stay withdrawn for as long as their unload is open.
     fn placement(&mut self, leader: SocketAddrV4, token: u64, now: Timestamp) -> Placement {
         for (id, engine) in &self.engines {
             let unload = engine.ledger.open_order().filter(|open| open.action == Action::Unload);
             if let Some(order) = unload {
-                self.announcements.goes(id, &order.weights, now);
+                self.announcements.record_withdrawn(id, &order.weights, now);
             }
         }
         self.announcements.placement(leader, token, now)
     }
 }
 
-/// Orders the servers while this node leads.
+/// Plans and sends orders to the servers while this node is the leader.
 pub struct Leader {
     context: Rc<ControlContext>,
     fleet: Addr<FleetState>,
     started: BootInstant,
     leadership: RefCell<Leadership>,
     state: RefCell<LeaderState>,
-    led: Cell<bool>,
+    /// Whether this node was the leader in the last round.
+    was_leader: Cell<bool>,
     predecessor: Cell<Predecessor>,
 }
 
-/// Starts the task that orders while this node leads.
+/// Starts the task that sends orders to the servers while this node is the leader.
 pub fn start(
     context: &Rc<ControlContext>,
     fleet: &Addr<FleetState>,
     lease: Duration,
 ) -> Rc<Leader> {
-    let times = LeadershipTiming {
+    let timing = LeadershipTiming {
         lease,
-        handover_delay: lease + QUIET_SLACK,
+        handover_delay: lease + HANDOVER_MARGIN,
         order_timeout: ORDER_TIMEOUT,
     };
     let leader = Rc::new(Leader {
         context: context.clone(),
         fleet: fleet.clone(),
         started: clock::now(),
-        leadership: RefCell::new(Leadership::new(times)),
+        leadership: RefCell::new(Leadership::new(timing)),
         state: RefCell::default(),
-        led: Cell::new(false),
+        was_leader: Cell::new(false),
         predecessor: Cell::new(Predecessor::OtherNode),
     });
     actix_rt::spawn(leader.clone().run());
@@ -142,65 +147,72 @@
         self.leadership.borrow().leads(self.now())
     }
 
-    /// What tells this machine apart from all others; its processes share it.
+    /// Identifies this machine among the nodes; successive processes on it share the identity.
     pub(super) fn identity(&self) -> String {
         let settings = &self.context.settings;
         format!("{} {}", settings.node, settings.peer_address)
     }
 
-    /// Whether this node may order servers now.
-    pub(super) fn may_order(&self) -> bool {
+    /// Whether this node may currently send orders to servers.
+    pub(super) fn may_send_orders(&self) -> bool {
         self.leadership.borrow().fencing_token(self.now()).is_some()
     }
 
-    /// Nodes that were heard lately.
-    pub(super) async fn peers(&self) -> Vec<SocketAddrV4> {
+    /// Addresses of the live peers that can reach the store, those that read it first; empty if
+    /// they can't be determined.
+    pub(super) async fn peers_reaching_store(&self) -> Vec<SocketAddrV4> {
         self.fleet.send(GetPeersReachingStore).await.unwrap_or_default()
     }
 
-    /// Notes that this node got the lease.
-    pub(super) fn acquired(&self, token: u64, lease_sent: Timestamp, predecessor: Predecessor) {
+    /// Records that this node has acquired the lease, whose grant was requested at `lease_sent`.
+    pub(super) fn record_acquired(
+        &self,
+        token: u64,
+        lease_sent: Timestamp,
+        predecessor: Predecessor,
+    ) {
         let now = self.now();
         self.predecessor.set(predecessor);
         self.leadership.borrow_mut().acquire(token, lease_sent, now, predecessor);
-        // What this process knows of orders and loads holds while nobody else could order.
+        // The state of orders and loads is still valid if no other node could send orders since.
         if predecessor != Predecessor::OwnTerm {
-            *self.state.borrow_mut() = LeaderState { acquired: now, ..LeaderState::default() };
+            *self.state.borrow_mut() = LeaderState { acquired_at: now, ..LeaderState::default() };
         }
         let follows = format!("{predecessor:?}");
-        info!("[leader] this node leads", kv: { token, follows });
+        info!("[leader] this node is now the leader", kv: { token, follows });
     }
 
-    /// Notes that the lease was renewed by a call sent at `sent`.
-    pub(super) fn renewed(&self, sent: Timestamp) {
+    /// Records that the lease was renewed by a call sent at `sent`.
+    pub(super) fn record_renewed(&self, sent: Timestamp) {
         self.leadership.borrow_mut().renew(sent, self.now());
     }
 
-    /// Notes that the lease is over.
-    pub(super) fn lost(&self) {
+    /// Ends the term because the lease has ended or this node is shutting down.
+    pub(super) fn resign(&self) {
         self.leadership.borrow_mut().resign();
-        self.note_end();
+        self.withdraw_placement();
     }
 
-    /// Notes that the store has lost the lease, which it granted in this era.
-    pub(super) fn lost_by_store(&self, era: StoreEra) {
+    /// Ends the term because the store has lost the lease, which it granted in `era`.
+    pub(super) fn record_store_loss(&self, era: StoreEra) {
         self.leadership.borrow_mut().note_store_loss(era);
-        self.note_end();
+        self.withdraw_placement();
     }
 
-    /// What this node knows of leadership beside what the store tells in this era.
+    /// What this node knows about leadership in addition to the keys that the store holds in `era`.
     pub(super) fn candidate_context(&self, era: StoreEra) -> CandidateContext {
-        let is_fresh =
-            self.context.settings.fresh_fleet && clock::elapsed(self.started) < FLEET_IS_FRESH_FOR;
+        let is_new =
+            self.context.settings.fresh_fleet && clock::elapsed(self.started) < NEW_FLEET_TIME;
         CandidateContext {
-            fleet_began_in_era: is_fresh && self.context.store.eras().latest_restore().is_none(),
+            fleet_began_in_era: is_new && self.context.store.eras().latest_restore().is_none(),
             own_term_runs: self.leadership.borrow().lost_term_runs(era, self.now()),
         }
     }
 
-    fn note_end(&self) {
-        if self.led.replace(false) {
-            warn!("[leader] this node does not lead any more");
+    /// Withdraws the announced placement and logs the change if this node was the leader until now.
+    fn withdraw_placement(&self) {
+        if self.was_leader.replace(false) {
+            warn!("[leader] this node is no longer the leader");
             self.fleet.do_send(SetPlacement(None));
         }
     }
@@ -208,34 +220,34 @@
     async fn run(self: Rc<Leader>) {
         loop {
             self.round().await;
-            clock::sleep(SHORTEST_ROUND).await;
+            clock::sleep(MIN_ROUND_INTERVAL).await;
             let _ = clock::timeout(MAX_PLAN_INTERVAL, self.context.plan_wanted.notified()).await;
         }
     }
 
     async fn round(self: &Rc<Leader>) {
         if !self.leads() {
-            return self.note_end();
+            return self.withdraw_placement();
         }
-        self.led.set(true);
-        self.tell_placement();
+        self.was_leader.set(true);
+        self.announce_placement();
         let fleet = self.context.board.fleet.load_full();
         let Some(configuration) = fleet.configuration.clone() else { return };
-        self.take_servers(&configuration, &fleet.servers);
+        self.update_servers(&configuration, &fleet.servers);
         let token = self.leadership.borrow().fencing_token(self.now());
         self.continue_orders(token);
         let Some(token) = token else { return };
-        self.finish_withdrawals(token);
+        self.unload_withdrawn(token);
         for service in configuration.services.values() {
             if let Some(profile) = &service.engine {
                 self.plan_service(&service.name, profile, token).await;
             }
         }
-        self.tell_placement();
+        self.announce_placement();
     }
 
-    /// Tells the nodes what the registry will tell later.
-    fn tell_placement(&self) {
+    /// Announces to the nodes what the registry will contain later.
+    fn announce_placement(&self) {
         let now = self.now();
         let token = self.leadership.borrow().fencing_token(now).unwrap_or_default();
         let leader = self.context.settings.peer_address;
@@ -243,11 +255,15 @@
         self.fleet.do_send(SetPlacement(Some(placement)));
     }
 
-    fn take_servers(&self, configuration: &GatewayConfiguration, servers: &[Arc<ServerRecord>]) {
+    /// Updates the state of the servers from the registry.
+    fn update_servers(&self, configuration: &GatewayConfiguration, servers: &[Arc<ServerRecord>]) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let is_engine = |record: &ServerRecord| {
-            configuration.services.get(&record.service).is_some_and(|known| known.engine.is_some())
+            configuration
+                .services
+                .get(&record.service)
+                .is_some_and(|service| service.engine.is_some())
         };
         let known: BTreeSet<Arc<str>> =
             servers.iter().map(|record| record.incarnation.clone()).collect();
@@ -262,26 +278,26 @@
                 .engines
                 .entry(record.incarnation.clone())
                 .or_insert_with(|| Engine::new(record.clone()));
-            engine.take_record(record, now);
+            engine.update_record(record, now);
         }
     }
 
-    /// Asks servers that have to be asked, and repeats orders in doubt.
+    /// Requests the reports that are due, and sends orders with an unknown outcome again.
     fn continue_orders(self: &Rc<Leader>, token: Option<u64>) {
         let now = self.now();
         let mut steps = Vec::new();
         for (id, engine) in &self.state.borrow().engines {
-            if !engine.calling && !engine.replaced {
-                steps.push((id.clone(), engine.ledger.next_step(now), engine.asked));
+            if !engine.call_in_progress && !engine.is_replaced {
+                steps.push((id.clone(), engine.ledger.next_step(now), engine.last_call));
             }
         }
-        for (id, step, asked) in steps {
-            let rested = asked.is_none_or(|asked| now.since(asked) >= REPORT_PAUSE);
+        for (id, step, last_call) in steps {
+            let is_due = last_call.is_none_or(|called_at| now.since(called_at) >= REPORT_INTERVAL);
             match step {
-                NextStep::RequestReport if rested => self.spawn_report(id),
-                NextStep::Resend { order, expected_count } if rested => {
+                NextStep::RequestReport if is_due => self.spawn_report(id),
+                NextStep::Resend { order, expected_count } if is_due => {
                     if let Some(token) = token {
-                        self.repeat_order(id, order, expected_count, token);
+                        self.spawn_order(id, order, expected_count, token);
                     }
                 }
                 _ => {}
@@ -289,28 +305,32 @@
         }
     }
 
-    fn finish_withdrawals(self: &Rc<Leader>, token: u64) {
+    /// Orders the unloads that were announced long enough ago.
+    fn unload_withdrawn(self: &Rc<Leader>, token: u64) {
         let now = self.now();
         let mut due = Vec::new();
         self.state.borrow_mut().withdrawals.retain(|withdrawal| {
-            let over = now.since(withdrawal.since) >= WITHDRAWAL_DELAY;
-            if over {
+            let is_due = now.since(withdrawal.announced_at) >= WITHDRAWAL_DELAY;
+            if is_due {
                 due.push((withdrawal.server.clone(), withdrawal.order.clone()));
             }
-            !over
+            !is_due
         });
         for (server, order) in due {
             if let Some(expected_count) = self.idle_count(&server) {
-                self.first_order(server, order, expected_count, UNLOAD_TAKES, token);
+                self.start_order(server, order, expected_count, UNLOAD_TIME, token);
             }
         }
     }
 
+    /// The count that a server expects of its next order; `None` if it can't take one.
     fn idle_count(&self, server: &str) -> Option<u64> {
         let state = self.state.borrow();
         let engine = state.engines.get(server)?;
         match engine.ledger.next_step(self.now()) {
-            NextStep::Idle { expected_count } if !engine.calling && !engine.replaced => {
+            NextStep::Idle { expected_count }
+                if !engine.call_in_progress && !engine.is_replaced =>
+            {
                 Some(expected_count)
             }
             _ => None,
@@ -320,8 +340,8 @@
     async fn plan_service(self: &Rc<Leader>, service: &str, profile: &EngineProfile, token: u64) {
         let Some(demand) = self.demand(profile).await else { return };
         let servers = self.planned_servers(service);
-        let settled = self.state.borrow().is_settled(self.predecessor.get(), self.now());
-        if servers.is_empty() || !settled {
+        let is_settled = self.state.borrow().is_settled(self.predecessor.get(), self.now());
+        if servers.is_empty() || !is_settled {
             return;
         }
         let loads_left = self.loads_left(service, profile);
@@ -330,7 +350,7 @@
             if !moves_models && planned.order.weights.adapter.is_none() {
                 continue;
             }
-            log_planned(&planned, loads_left);
+            log_planned_order(&planned, loads_left);
             let now = self.now();
             let unloads_model =
                 planned.order.action == Action::Unload && planned.order.weights.adapter.is_none();
@@ -339,7 +359,7 @@
                 continue;
             }
             let Some(expected_count) = self.idle_count(&planned.server) else { continue };
-            if planned.order.loads_adapter() && !self.may_load_adapter(&planned.server) {
+            if planned.order.loads_adapter() && !self.try_add_adapter_load(&planned.server) {
                 continue;
             }
             if planned.from_store
@@ -350,9 +370,9 @@
             if planned.order.weights.adapter.is_none()
                 && let Some(engine) = self.state.borrow_mut().engines.get_mut(&planned.server)
             {
-                engine.promised = None;
+                engine.pending_load = None;
             }
-            self.first_order(
+            self.start_order(
                 planned.server,
                 planned.order,
                 expected_count,
@@ -362,36 +382,37 @@
         }
     }
 
-    /// Whether one more adapter may be on its way to a server; notes it then.
-    fn may_load_adapter(&self, server: &str) -> bool {
+    /// Counts one more adapter load on a server if it may start. Returns whether it may.
+    fn try_add_adapter_load(&self, server: &str) -> bool {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        state.engines.get_mut(server).is_some_and(|engine| engine.take_adapter_place(now))
+        state.engines.get_mut(server).is_some_and(|engine| engine.try_add_adapter_load(now))
     }
 
-    /// Tells all nodes that weights go, and unloads them a little later.
+    /// Announces to all nodes that weights are withdrawn; they are unloaded after a delay.
     fn withdraw(&self, planned: PlannedOrder) {
         let now = self.now();
         let PlannedOrder { server, order, makes_room_for, .. } = planned;
         let mut state = self.state.borrow_mut();
-        state.announcements.goes(&server, &order.weights, now);
+        state.announcements.record_withdrawn(&server, &order.weights, now);
         if let Some(engine) = state.engines.get_mut(&server)
             && makes_room_for.is_some()
         {
-            engine.promised = makes_room_for;
+            engine.pending_load = makes_room_for;
         }
-        state.withdrawals.push(Withdrawal { server, order, since: now });
+        state.withdrawals.push(Withdrawal { server, order, announced_at: now });
     }
 
+    /// Number of loads from the weight store that the service's rate limit currently allows.
     fn loads_left(&self, service: &str, profile: &EngineProfile) -> usize {
         let now = self.now();
         let window = Duration::from_secs_f64(self.context.settings.bounds.load_window_seconds);
         let mut state = self.state.borrow_mut();
-        // What was ordered in earlier terms was ordered before this one began.
-        let acquired = state.acquired;
-        let first = self.predecessor.get() == Predecessor::Nobody;
+        // Loads of earlier terms were ordered before this term started.
+        let acquired_at = state.acquired_at;
+        let is_first_term = self.predecessor.get() == Predecessor::Nobody;
         let rate = state.load_rates.entry(service.to_owned()).or_insert_with(|| {
-            LoadRateLimiter::new(profile.loads_per_second, window, acquired, first)
+            LoadRateLimiter::new(profile.loads_per_second, window, acquired_at, is_first_term)
         });
         rate.available(now)
     }
@@ -399,17 +420,17 @@
     async fn demand(&self, profile: &EngineProfile) -> Option<FleetDemand> {
         let view = self.fleet.send(GetDemand).await.ok()?;
         let now = view.now;
-        let watched =
+        let has_enough_history =
             view.first_request.is_some_and(|first| now.since(first) >= MIN_DEMAND_HISTORY);
-        let mut demand = FleetDemand { has_enough_history: watched, ..FleetDemand::default() };
+        let mut demand = FleetDemand { has_enough_history, ..FleetDemand::default() };
         for model in &profile.models {
             let key = model_key(&model.name, None);
-            let asked = ModelDemand::new(
+            let model_demand = ModelDemand::new(
                 view.rates.prefill(key, now),
                 view.rates.occupied_slots(key, now) / f64::from(profile.batch_slots.max(1)),
                 view.rates.requests_per_second(key, now),
             );
-            demand.models.insert(model.name.clone(), asked);
+            demand.models.insert(model.name.clone(), model_demand);
             for number in 1..=model.adapters {
                 let adapter = format!("a{number}");
                 let key = model_key(&model.name, Some(&adapter));
@@ -426,28 +447,28 @@
     fn planned_servers(&self, service: &str) -> Vec<PlannedServer> {
         let now = self.now();
         let state = self.state.borrow();
-        let withdrawing =
+        let is_withdrawing =
             |id: &Arc<str>| state.withdrawals.iter().any(|withdrawal| withdrawal.server == *id);
         let mut servers: Vec<PlannedServer> = state
             .engines
             .values()
-            .filter(|engine| engine.record.service == service && !engine.replaced)
+            .filter(|engine| engine.record.service == service && !engine.is_replaced)
             .filter(|engine| engine.record.state == ServerState::Ready)
             .map(|engine| {
                 let id = &engine.record.incarnation;
-                let idle = matches!(engine.ledger.next_step(now), NextStep::Idle { .. });
-                let (held, reserved) = believed_weights(engine);
+                let is_idle = matches!(engine.ledger.next_step(now), NextStep::Idle { .. });
+                let (held, reserved) = held_and_reserved_weights(engine);
                 PlannedServer {
                     id: id.clone(),
-                    is_idle: idle && !engine.calling && !withdrawing(id),
+                    is_idle: is_idle && !engine.call_in_progress && !is_withdrawing(id),
                     held,
                     reserved,
                     in_host_memory: engine.in_host_memory.clone(),
                     on_disk: engine.on_disk.clone(),
-                    recently_loaded: fresh_models(engine, now),
-                    unloading: leaving_weights(engine, &state.withdrawals),
+                    recently_loaded: recently_loaded(engine, now),
+                    unloading: unloading_weights(engine, &state.withdrawals),
                     load_time_left: engine.ledger.time_left(now),
-                    pending_load: engine.promised.clone(),
+                    pending_load: engine.pending_load.clone(),
                 }
             })
             .collect();
@@ -456,9 +477,9 @@
     }
 }
 
-/// One line for each move of a model that a plan holds, with what decided it.
-/// Adapters come in dozens a plan and are told by their answers alone.
-fn log_planned(planned: &PlannedOrder, loads_left: usize) {
+/// Logs a planned load or unload of a model and the reasons for it. A plan contains dozens of
+/// orders for adapters, which are logged only when they are answered.
+fn log_planned_order(planned: &PlannedOrder, loads_left: usize) {
     if planned.order.weights.adapter.is_some() {
         return;
     }
@@ -468,5 +489,5 @@
     let makes_room_for = planned.makes_room_for.as_deref().unwrap_or("-");
     let takes_millis = planned.expected_duration.as_millis() as u64;
     let from_store = planned.from_store;
-    info!("[leader] a move is planned", kv: { server, action, model, makes_room_for, from_store, takes_millis, loads_left });
+    info!("[leader] a load or unload of a model is planned", kv: { server, action, model, makes_room_for, from_store, takes_millis, loads_left });
 }
