--- a/crates/cometmoor-gateway/src/control/leader/mod.rs
+++ b/crates/cometmoor-gateway/src/control/leader/mod.rs
@@ -55,7 +55,8 @@
 /// Time after the first start of a fleet in which a store without a record of a leader has never
 /// had one: the first leader is elected at once, unless the store fails.
 const NEW_FLEET_TIME: Duration = Duration::from_secs(5);
-/// Margin that the handover delay, the time between the orders of two nodes, adds to the lease.
+/// Margin by which the handover delay, the time without orders between those of two nodes, exceeds
+/// its required minimum, the lease.
 const HANDOVER_MARGIN: Duration = Duration::from_millis(400);
 
 #[derive(Default)]
@@ -174,7 +175,7 @@
         let now = self.now();
         self.predecessor.set(predecessor);
         self.leadership.borrow_mut().acquire(token, lease_sent, now, predecessor);
-        // The state of orders and loads is still valid if no other node could send orders since.
+        // Earlier state of orders and loads is valid only if no other node could send orders since.
         if predecessor != Predecessor::OwnTerm {
             *self.state.borrow_mut() = LeaderState { acquired_at: now, ..LeaderState::default() };
         }
