--- a/crates/cometmoor-gateway/src/control/leader/engine.rs
+++ b/crates/cometmoor-gateway/src/control/leader/engine.rs
@@ -144,8 +144,9 @@
     recent.map(|(model, _)| model.clone()).collect()
 }
 
-/// Weights that the server holds, and weights that it holds or may hold. While its ledger is
-/// unknown, because it is busy with orders of the previous leader, they come from the registry.
+/// Weights that the server holds, and weights that it holds or may hold. As long as its order count
+/// is unknown, for example while it executes orders of the previous leader, both come from the
+/// registry.
 pub(super) fn held_and_reserved_weights(engine: &Engine) -> (BTreeSet<Weights>, BTreeSet<Weights>) {
     if engine.ledger.is_known() {
         return (engine.ledger.held().clone(), engine.ledger.reserved());
