--- a/crates/cometmoor-gateway/src/control/leader/calls.rs
+++ b/crates/cometmoor-gateway/src/control/leader/calls.rs
@@ -11,8 +11,8 @@
 use super::engine::{record_accepted_order, server_report};
 use super::{Leader, ORDER_TIMEOUT};
 use crate::clock;
-use crate::dialect::{EngineReport, ModelName, Order, OrderAnswer, OrderKind};
-use crate::http::client::{Answer, CallClient, CallError};
+use crate::dialect::{EngineReport, ModelName, Order, OrderKind, OrderResponse};
+use crate::http::client::{CallClient, CallError, Response};
 
 /// Time that a server takes to load an adapter.
 const ADAPTER_LOAD_TIME: Duration = Duration::from_millis(25);
@@ -54,9 +54,11 @@
 
     /// Records that a server is leaving if its response to a call says so. Limits are signaled in
     /// responses to forwarded requests only.
-    fn note_leaving(&self, incarnation: &str, response: Option<&Answer>) {
-        let facts = response.map(|response| self.context.dialect.answer_facts(&response.head));
-        if facts.and_then(|facts| facts.signals).is_some_and(|signals| signals.is_leaving) {
+    fn note_leaving(&self, incarnation: &str, response: Option<&Response>) {
+        let metadata =
+            response.map(|response| self.context.dialect.response_metadata(&response.head));
+        if metadata.and_then(|metadata| metadata.signals).is_some_and(|signals| signals.is_leaving)
+        {
             self.context.signals.note_leaving(incarnation, &self.context.settings.node);
         }
     }
@@ -122,7 +124,7 @@
         actix_rt::spawn(async move {
             let result =
                 leader.send_order(&client, &id, &server, &order, expected_count, token).await;
-            let accepted = matches!(result, Ok(OrderAnswer::Accepted));
+            let accepted = matches!(result, Ok(OrderResponse::Accepted));
             leader.apply_order_result(&id, &order, result, token);
             if accepted && order.loads_adapter() {
                 leader.context.plan_wanted.notify_one();
@@ -141,7 +143,7 @@
         order: &ServerOrder,
         expected_count: u64,
         token: u64,
-    ) -> Result<OrderAnswer, CallError> {
+    ) -> Result<OrderResponse, CallError> {
         let model = ModelName {
             model: order.weights.model.clone(),
             adapter: order.weights.adapter.clone(),
@@ -169,7 +171,7 @@
         &self,
         id: &Arc<str>,
         order: &ServerOrder,
-        result: Result<OrderAnswer, CallError>,
+        result: Result<OrderResponse, CallError>,
         token: u64,
     ) {
         let now = self.now();
@@ -179,22 +181,23 @@
         let Some(engine) = state.engines.get_mut(id) else { return };
         engine.call_in_progress = false;
         match result {
-            Ok(OrderAnswer::Accepted) => {
+            Ok(OrderResponse::Accepted) => {
                 engine.ledger.record_accepted(now);
                 record_accepted_order(engine, order, now);
                 if order.action == Action::Unload {
                     state.announcements.record_withdrawn(id, &order.weights, now);
                 }
             }
-            Ok(OrderAnswer::AlreadyDone) => {
+            Ok(OrderResponse::AlreadyDone) => {
                 engine.ledger.record_already_done(now);
                 match order.action {
                     Action::Load => state.announcements.record_added(id, &order.weights, now),
                     Action::Unload => state.announcements.record_withdrawn(id, &order.weights, now),
                 }
             }
-            Ok(OrderAnswer::OtherServer) => engine.is_replaced = true,
-            Ok(OrderAnswer::Conflict | OrderAnswer::Fenced | OrderAnswer::Refused(_)) | Err(_) => {
+            Ok(OrderResponse::OtherServer) => engine.is_replaced = true,
+            Ok(OrderResponse::Conflict | OrderResponse::Fenced | OrderResponse::Refused(_))
+            | Err(_) => {
                 engine.ledger.record_unknown_outcome();
             }
         }
@@ -204,7 +207,7 @@
 fn log_order(
     server: &str,
     order: &ServerOrder,
-    result: &Result<OrderAnswer, CallError>,
+    result: &Result<OrderResponse, CallError>,
     token: u64,
 ) {
     let action = format!("{:?}", order.action);
--- a/crates/cometmoor-gateway/src/control/term.rs
+++ b/crates/cometmoor-gateway/src/control/term.rs
@@ -9,7 +9,7 @@
 
 use super::leader::Leader;
 use crate::clock;
-use crate::dialect::{Commit, Committed};
+use crate::dialect::{Commit, CommitResult};
 use crate::peer::renew_via_peer;
 use crate::published::Phase;
 use crate::store::StoreLease;
@@ -93,7 +93,7 @@
             let _ = clock::timeout(interval, eras.wait_for_new_era()).await;
             if context.board.fleet.load().phase != Phase::Ready {
                 leader.resign();
-                let _ = context.store.end_lease(self.lease).await;
+                let _ = context.store.revoke_lease(self.lease).await;
                 return TermEnd::Ended;
             }
             if let Err(end) = self.renew_once(leader).await {
@@ -130,7 +130,7 @@
         let committed = leader.context().store.commit(&Commit { conditions, puts }).await;
         // A call that was not answered is repeated after the next renewal.
         self.is_wait_recorded = committed.is_ok_and(|committed| {
-            matches!(committed.content, Committed::Done(_) | Committed::Conflict)
+            matches!(committed.content, CommitResult::Committed(_) | CommitResult::Conflict)
         });
     }
 }
