--- a/crates/cometmoor-gateway/src/control/leader/calls.rs
+++ b/crates/cometmoor-gateway/src/control/leader/calls.rs
@@ -33,8 +33,8 @@
             let call = leader.context.dialect.report(&server);
             let result = client.call(&call, ORDER_TIMEOUT).await;
             leader.note_leaving(&id, result.as_ref().ok());
-            let report = result.map_err(|error| error.to_string()).and_then(|answer| {
-                leader.context.dialect.parse_report(&answer).map_err(|error| error.to_string())
+            let report = result.map_err(|error| error.to_string()).and_then(|response| {
+                leader.context.dialect.parse_report(&response).map_err(|error| error.to_string())
             });
             leader.apply_report(&id, report, requested_at);
             leader.context.plan_wanted.notify_one();
@@ -161,10 +161,10 @@
         });
         // The lease may have expired between the plan and the connection, in particular if the
         // machine was slow or suspended in between.
-        let may_order = || self.leadership.borrow().fencing_token(self.now()) == Some(token);
-        let answer = client.call_if(&call, ORDER_TIMEOUT, may_order).await?;
-        self.note_leaving(incarnation, Some(&answer));
-        Ok(self.context.dialect.parse_order(&answer))
+        let may_send_orders = || self.leadership.borrow().fencing_token(self.now()) == Some(token);
+        let response = client.call_if(&call, ORDER_TIMEOUT, may_send_orders).await?;
+        self.note_leaving(incarnation, Some(&response));
+        Ok(self.context.dialect.parse_order(&response))
     }
 
     fn apply_order_result(
@@ -214,8 +214,8 @@
     let model = &*order.weights.model;
     let adapter = order.weights.adapter.as_deref().unwrap_or("-");
     match result {
-        Ok(answer) => {
-            let outcome = format!("{answer:?}");
+        Ok(response) => {
+            let outcome = format!("{response:?}");
             info!("[leader] a server has answered an order", kv: { server, action, model, adapter, token, outcome });
         }
         Err(error) => {
--- a/crates/cometmoor-gateway/src/control/leader/engine.rs
+++ b/crates/cometmoor-gateway/src/control/leader/engine.rs
@@ -30,7 +30,8 @@
     pub(super) on_disk: BTreeSet<String>,
     /// When the load of a model was accepted, by model.
     pub(super) load_times: HashMap<String, Timestamp>,
-    /// Whether another incarnation runs at the address, so that this one gets no more orders.
+    /// Whether the incarnation has ended or another server has its address, so that it gets no more
+    /// orders.
     pub(super) is_replaced: bool,
     /// Model for which memory is being freed.
     pub(super) pending_load: Option<String>,
