--- a/crates/cometmoor-gateway/src/quota.rs
+++ b/crates/cometmoor-gateway/src/quota.rs
@@ -1,5 +1,7 @@
-//! Limits of tenants and servers on the traffic thread: asks the policy of the core, sends its
-//! messages, and lets requests wait for its decision.
+//! Enforces the limits of tenants and servers on the traffic thread.
+//!
+//! The core's lending policy makes the decisions. This module exchanges its messages with the other
+//! nodes over UDP and holds requests until they are decided.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -27,69 +29,71 @@
 use crate::settings::GatewaySettings;
 use crate::signals::SignalBoard;
 
-/// Version of the messages' format.
-const FORMAT: u8 = 2;
-/// Largest message, in bytes.
-const MAX_BYTES: usize = 1024;
-/// Time between two ticks of the policy while requests wait.
+/// Version of the datagram format. Datagrams of another version are ignored.
+const FORMAT_VERSION: u8 = 2;
+/// Maximum size of a received datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 1024;
+/// Interval between two ticks of the policy while requests wait.
 const BUSY_TICK: Duration = Duration::from_millis(20);
-/// The same while none does.
+/// Additional pause between two ticks while no request waits. It ends when one starts to wait.
 const IDLE_TICK: Duration = Duration::from_millis(250);
 
-/// Whose limits are held.
+/// What a limit applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-enum Holder {
-    /// Tenants', by the configuration.
+enum LimitScope {
+    /// A tenant. The limit comes from the configuration.
     Tenants,
-    /// Servers', by their answers.
+    /// A server. The limit comes from its responses.
     Servers,
 }
 
-/// A datagram between nodes.
+/// Datagram between nodes, after the format version.
 #[derive(Debug, Serialize, Deserialize)]
 struct Datagram {
-    holder: Holder,
+    scope: LimitScope,
     message: LendingMessage,
-    /// What the sender knows of the server, with a question for its limit: the node that is
-    /// asked may not have heard of it, or of another limit.
+    /// What the sender knows of the server, in token requests for its limit: the recipient may not
+    /// know the limit, or know an outdated one.
     signal: Option<SignalReport>,
 }
 
-/// A request that waits for its decision.
-struct Waiting {
+/// A request whose decision is pending.
+struct WaitingRequest {
     key: QuotaKey,
     cost: f64,
     sender: oneshot::Sender<Decision>,
 }
 
-/// The limits of one kind of holders.
-struct Ledger {
+/// The policy for one scope, with the requests that wait for its decisions.
+struct PolicyState {
     policy: RefCell<LendingPolicy>,
-    waiting: RefCell<HashMap<Ticket, Waiting>>,
+    waiting: RefCell<HashMap<Ticket, WaitingRequest>>,
 }
 
-impl Ledger {
-    fn new(own: SocketAddrV4, seeds: Vec<SocketAddrV4>, bounds: QuotaBounds) -> Ledger {
+impl PolicyState {
+    fn new(own: SocketAddrV4, seeds: Vec<SocketAddrV4>, bounds: QuotaBounds) -> PolicyState {
         let policy = LendingPolicy::new(own, seeds, bounds, rand::random(), clock::now());
-        Ledger { policy: RefCell::new(policy), waiting: RefCell::default() }
+        PolicyState { policy: RefCell::new(policy), waiting: RefCell::default() }
     }
 }
 
-/// The limits as the requests of this node see them.
+/// Decides whether requests of this node are within the limits of their tenants and servers.
 pub struct QuotaLimiter {
     socket: UdpSocket,
     board: Arc<Board>,
     signals: SignalBoard,
     metrics: Arc<Metrics>,
-    tenants: Ledger,
-    servers: Ledger,
-    /// Generation of the published state whose nodes the policies have.
-    nodes_of: Cell<u64>,
-    changed: Notify,
+    tenants: PolicyState,
+    servers: PolicyState,
+    /// Generation of the fleet snapshot that the policies' set of live nodes comes from.
+    nodes_generation: Cell<u64>,
+    /// Notified when a policy starts to await requests or responses, so that ticks become frequent.
+    wake_tick: Notify,
 }
 
 impl QuotaLimiter {
-    /// Opens the socket and begins to take messages.
+    /// Binds the UDP socket and starts the tasks that receive messages and tick the policies. Fails
+    /// if the address cannot be bound.
     pub fn start(
         settings: &GatewaySettings,
         board: Arc<Board>,
@@ -101,125 +105,129 @@
         socket.set_nonblocking(true)?;
         let seeds = settings.seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), own.port()));
         let seeds: Vec<SocketAddrV4> = seeds.collect();
-        let desk = Rc::new(QuotaLimiter {
+        let limiter = Rc::new(QuotaLimiter {
             socket: UdpSocket::from_std(socket)?,
             board,
             signals,
             metrics,
-            tenants: Ledger::new(own, seeds.clone(), settings.quota_bounds()),
-            servers: Ledger::new(own, seeds, SERVER_LIMIT_BOUNDS),
-            nodes_of: Cell::new(0),
-            changed: Notify::new(),
+            tenants: PolicyState::new(own, seeds.clone(), settings.quota_bounds()),
+            servers: PolicyState::new(own, seeds, SERVER_LIMIT_BOUNDS),
+            nodes_generation: Cell::new(0),
+            wake_tick: Notify::new(),
         });
-        actix_rt::spawn(desk.clone().receive());
-        actix_rt::spawn(desk.clone().tick());
-        Ok(desk)
+        actix_rt::spawn(limiter.clone().receive());
+        actix_rt::spawn(limiter.clone().tick());
+        Ok(limiter)
     }
 
-    /// Asks whether a request of a tenant that names so many tokens may run; waits for the
-    /// answer of another node where that is needed. What a tenant without a limit sends is
-    /// granted.
+    /// Acquires quota for a tenant's request with the given number of tokens, if it states one.
+    /// `version` is that of the configuration that the tenant's limit comes from. Waits for the
+    /// response of another node if necessary. Requests of tenants without a limit are granted.
     pub async fn acquire(&self, tenant: &Tenant, version: u64, tokens: Option<u64>) -> Decision {
         let Some(limit) = tenant.limit else { return Decision::Granted };
         let key = QuotaKey::of(&tenant.name);
         let cost = limit.unit.cost(tokens) as f64;
-        self.decide(Holder::Tenants, key, VersionedLimit { limit, version }, cost).await
+        self.decide(LimitScope::Tenants, key, VersionedLimit { limit, version }, cost).await
     }
 
-    /// Gives the tokens of a request back that no server has run.
+    /// Refunds the quota of a tenant's request that no server has run. `tokens` has to be the same
+    /// as for [`Self::acquire`].
     pub fn refund(&self, tenant: &Tenant, tokens: Option<u64>) {
         let Some(limit) = tenant.limit else { return };
         let key = QuotaKey::of(&tenant.name);
         let cost = limit.unit.cost(tokens) as f64;
-        self.return_tokens(Holder::Tenants, key, cost);
+        self.refund_tokens(LimitScope::Tenants, key, cost);
     }
 
-    /// Asks whether a server with a limit may get a request.
+    /// Acquires quota for sending one request to a server with a limit.
     pub async fn acquire_send(&self, server: IncarnationHash, limit: VersionedLimit) -> Decision {
-        self.decide(Holder::Servers, server.into(), limit, 1.0).await
+        self.decide(LimitScope::Servers, server.into(), limit, 1.0).await
     }
 
-    /// Gives the allowance for a request back that did not reach its server.
+    /// Refunds the quota of a request that did not reach its server.
     pub fn refund_send(&self, server: IncarnationHash) {
-        self.return_tokens(Holder::Servers, server.into(), 1.0);
+        self.refund_tokens(LimitScope::Servers, server.into(), 1.0);
     }
 
-    fn ledger(&self, holder: Holder) -> &Ledger {
-        match holder {
-            Holder::Tenants => &self.tenants,
-            Holder::Servers => &self.servers,
+    fn state(&self, scope: LimitScope) -> &PolicyState {
+        match scope {
+            LimitScope::Tenants => &self.tenants,
+            LimitScope::Servers => &self.servers,
         }
     }
 
     async fn decide(
         &self,
-        holder: Holder,
+        scope: LimitScope,
         key: QuotaKey,
         limit: VersionedLimit,
         cost: f64,
     ) -> Decision {
-        self.take_nodes();
+        self.update_nodes();
         let now = clock::now();
-        let ask = |policy: &mut LendingPolicy, effects: &mut Effects<LendingMessage>| {
+        let request = |policy: &mut LendingPolicy, effects: &mut Effects<LendingMessage>| {
             policy.request(key, limit, cost, now, effects)
         };
-        let decided = self.with_policy(holder, ask);
-        let Decision::Pending(ticket) = decided else { return decided };
+        let decision = self.with_policy(scope, request);
+        let Decision::Pending(ticket) = decision else { return decision };
         let (sender, receiver) = oneshot::channel();
-        self.ledger(holder).waiting.borrow_mut().insert(ticket, Waiting { key, cost, sender });
-        self.changed.notify_one();
-        // The desk outlives the request, and each ticket is settled.
+        self.state(scope).waiting.borrow_mut().insert(ticket, WaitingRequest { key, cost, sender });
+        self.wake_tick.notify_one();
+        // The limiter outlives the request, and every ticket is settled.
         receiver.await.unwrap_or(Decision::Undecided)
     }
 
-    fn return_tokens(&self, holder: Holder, key: QuotaKey, cost: f64) {
-        self.with_policy(holder, |policy, effects| {
+    fn refund_tokens(&self, scope: LimitScope, key: QuotaKey, cost: f64) {
+        self.with_policy(scope, |policy, effects| {
             policy.refund(key, cost, clock::now(), effects);
         });
     }
 
     fn with_policy<Output>(
         &self,
-        holder: Holder,
+        scope: LimitScope,
         act: impl FnOnce(&mut LendingPolicy, &mut Effects<LendingMessage>) -> Output,
     ) -> Output {
-        let ledger = self.ledger(holder);
+        let state = self.state(scope);
         let mut effects = Effects::default();
-        let output = act(&mut ledger.policy.borrow_mut(), &mut effects);
+        let output = act(&mut state.policy.borrow_mut(), &mut effects);
         for Settled { ticket, decision } in effects.settled {
-            let Some(waiting) = ledger.waiting.borrow_mut().remove(&ticket) else { continue };
-            // Whoever has left needs no tokens; others wait for them.
+            let Some(waiting) = state.waiting.borrow_mut().remove(&ticket) else { continue };
+            // The request was abandoned while it waited. Other requests need its tokens.
             if waiting.sender.send(decision).is_err() && decision == Decision::Granted {
-                self.return_tokens(holder, waiting.key, waiting.cost);
+                self.refund_tokens(scope, waiting.key, waiting.cost);
             }
         }
         for (target, message) in effects.messages {
-            self.send(holder, target, message);
+            self.send(scope, target, message);
         }
         output
     }
 
-    fn send(&self, holder: Holder, target: SocketAddrV4, message: LendingMessage) {
-        let signal = match (holder, &message) {
-            (Holder::Servers, LendingMessage::Request(ask)) => self.signals.report(ask.key.into()),
+    fn send(&self, scope: LimitScope, target: SocketAddrV4, message: LendingMessage) {
+        let signal = match (scope, &message) {
+            (LimitScope::Servers, LendingMessage::Request(request)) => {
+                self.signals.report(request.key.into())
+            }
             _ => None,
         };
-        let datagram = Datagram { holder, message, signal };
-        let bytes = postcard::to_stdvec(&(FORMAT, &datagram)).unwrap_or_default();
+        let datagram = Datagram { scope, message, signal };
+        let bytes = postcard::to_stdvec(&(FORMAT_VERSION, &datagram)).unwrap_or_default();
         self.metrics.control.count(TrafficKind::Quota, 1, bytes.len());
-        // A lost message is sent again, or another node is asked.
+        // The policy resends a lost message or asks another node.
         let _ = self.socket.try_send_to(&bytes, SocketAddr::V4(target));
     }
 
-    /// Puts the limit that this node knows of a server in place of the one that is asked by:
-    /// versions of different nodes cannot be compared.
-    fn with_known_limit(
+    /// Replaces the limit in a token request for a server by the one that this node knows, after it
+    /// has merged the sender's report: versions of different nodes cannot be compared. Version 0
+    /// stands for no known limit.
+    fn with_local_limit(
         &self,
         from: SocketAddrV4,
-        mut ask: TokenRequest,
+        mut request: TokenRequest,
         signal: Option<SignalReport>,
     ) -> TokenRequest {
-        let server = ask.key.into();
+        let server = request.key.into();
         let reports = signal.filter(|report| report.server == server);
         for (_, change) in self.signals.merge(reports.as_slice()) {
             let name = self.board.fleet.load().incarnation(server);
@@ -227,73 +235,74 @@
             self.signals.log_change(change, name, "peer", &from.to_string());
         }
         match self.signals.limit(server) {
-            Some(limit) => ask.limit = limit.into(),
-            None => ask.limit.version = 0,
+            Some(limit) => request.limit = limit.into(),
+            None => request.limit.version = 0,
         }
-        ask
+        request
     }
 
     async fn receive(self: Rc<QuotaLimiter>) {
-        let mut buffer = vec![0; MAX_BYTES];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error tells of an earlier datagram that found nobody.
+            // An error reports that an earlier datagram was undeliverable. The socket stays usable.
             let Ok((length, SocketAddr::V4(from))) = self.socket.recv_from(&mut buffer).await
             else {
                 continue;
             };
-            let Some(Datagram { holder, message, signal }) = decode(&buffer[..length]) else {
+            let Some(Datagram { scope, message, signal }) = decode(&buffer[..length]) else {
                 continue;
             };
-            self.take_nodes();
-            let message = match (holder, message) {
-                (Holder::Servers, LendingMessage::Request(ask)) => {
-                    LendingMessage::Request(self.with_known_limit(from, ask, signal))
+            self.update_nodes();
+            let message = match (scope, message) {
+                (LimitScope::Servers, LendingMessage::Request(request)) => {
+                    LendingMessage::Request(self.with_local_limit(from, request, signal))
                 }
                 (_, message) => message,
             };
-            self.with_policy(holder, |policy, effects| {
+            self.with_policy(scope, |policy, effects| {
                 policy.receive(from, message, clock::now(), effects);
             });
-            if self.ledger(holder).policy.borrow().has_waiting() {
-                self.changed.notify_one();
+            if self.state(scope).policy.borrow().has_waiting() {
+                self.wake_tick.notify_one();
             }
         }
     }
 
     async fn tick(self: Rc<QuotaLimiter>) {
         loop {
-            self.take_nodes();
-            for holder in [Holder::Tenants, Holder::Servers] {
-                self.with_policy(holder, |policy, effects| policy.tick(clock::now(), effects));
+            self.update_nodes();
+            for scope in [LimitScope::Tenants, LimitScope::Servers] {
+                self.with_policy(scope, |policy, effects| policy.tick(clock::now(), effects));
             }
             self.metrics.lends.set(self.tenants.policy.borrow().lending_count() as i64);
             self.metrics.lends_for_servers.set(self.servers.policy.borrow().lending_count() as i64);
-            let has_waiting = |ledger: &Ledger| ledger.policy.borrow().has_waiting();
+            let has_waiting = |state: &PolicyState| state.policy.borrow().has_waiting();
             if !has_waiting(&self.tenants) && !has_waiting(&self.servers) {
-                let _ = clock::timeout(IDLE_TICK, self.changed.notified()).await;
+                let _ = clock::timeout(IDLE_TICK, self.wake_tick.notified()).await;
             }
-            // Nearly all requests are decided before.
+            // Messages settle nearly all requests before the next tick.
             clock::sleep(BUSY_TICK).await;
         }
     }
 
-    /// Tells the policies which nodes there are, where that may have changed.
-    fn take_nodes(&self) {
+    /// Passes the live nodes to the policies if a new fleet snapshot was published.
+    fn update_nodes(&self) {
         let fleet = self.board.fleet.load();
-        if self.nodes_of.replace(fleet.generation) == fleet.generation {
+        if self.nodes_generation.replace(fleet.generation) == fleet.generation {
             return;
         }
         let port = self.socket.local_addr().map_or(0, |own| own.port());
         let addresses = fleet.nodes.iter().map(|node| SocketAddrV4::new(*node.address.ip(), port));
-        let mut alive: Vec<SocketAddrV4> = addresses.collect();
-        alive.sort_unstable();
-        for ledger in [&self.tenants, &self.servers] {
-            ledger.policy.borrow_mut().set_nodes(&alive, clock::now());
+        let mut live_nodes: Vec<SocketAddrV4> = addresses.collect();
+        live_nodes.sort_unstable();
+        for state in [&self.tenants, &self.servers] {
+            state.policy.borrow_mut().set_nodes(&live_nodes, clock::now());
         }
     }
 }
 
+/// The datagram in these bytes; None if its version is unknown or it is malformed.
 fn decode(bytes: &[u8]) -> Option<Datagram> {
     let (format, rest) = postcard::take_from_bytes::<u8>(bytes).ok()?;
-    (format == FORMAT).then(|| postcard::from_bytes(rest).ok())?
+    (format == FORMAT_VERSION).then(|| postcard::from_bytes(rest).ok())?
 }
