--- a/crates/cometmoor-gateway/tests/quota.rs
+++ b/crates/cometmoor-gateway/tests/quota.rs
@@ -1,8 +1,9 @@
-//! Tenants' limits over all nodes, in virtual time: what runs in any window stays below the
-//! bound whatever fails, and nobody within a limit is refused for it.
+//! Tenants' limits in a simulated fleet: usage in any window stays within the bound under every
+//! fault, and nearly all requests within a limit are admitted.
 //!
-//! `COMETMOOR_QUOTA_SEEDS` runs more seeds. `COMETMOOR_QUOTA_TABLE=1` prints the two ways side
-//! by side (`cargo test --release -p cometmoor-gateway --test quota -- --nocapture table`).
+//! `COMETMOOR_QUOTA_SEEDS` sets the number of seeds. `COMETMOOR_QUOTA_TABLE=1` prints a comparison
+//! of the two policies (`cargo test --release -p cometmoor-gateway --test quota -- --nocapture
+//! table`).
 
 mod quota_world;
 mod world;
@@ -16,126 +17,127 @@
 use quota_world::tenants::{Outcome, SimulatedTenant};
 use quota_world::{BOUNDS, QuotaWorld, WARM_UP_SECONDS, seed_count};
 
-/// Amount a second of the largest tenant.
-const LARGEST: f64 = 250_000.0;
-/// The same of the smallest: a second of it covers the largest request.
-const SMALLEST: f64 = 6000.0;
-/// What tenants send of their limits.
-const SENDS: [f64; 5] = [0.5, 0.9, 1.0, 7.0, 1.5];
-/// Share of the requests within a limit that may be refused for it.
-const REFUSED_WITHIN: f64 = 0.005;
-/// Part of a limit that has to be used under pressure.
-const USED_UNDER_PRESSURE: f64 = 0.95;
+/// Rate of the largest tenant, in tokens a second.
+const LARGEST_RATE: f64 = 250_000.0;
+/// Minimum rate of a tenant, in tokens a second. One second of it covers the largest request.
+const SMALLEST_RATE: f64 = 6000.0;
+/// Demand of the tenants, as fractions of their limits.
+const DEMANDS: [f64; 5] = [0.5, 0.9, 1.0, 7.0, 1.5];
+/// Fraction of conforming requests that may be refused or undecided.
+const MAX_REFUSED_SHARE: f64 = 0.005;
+/// Fraction of a limit that has to be used under overload.
+const MIN_UTILIZATION: f64 = 0.95;
 
 fn tenants(count: usize) -> Vec<SimulatedTenant> {
-    let of = |place: usize| {
-        let per_second = (LARGEST / (1.0 + place as f64).powf(0.8)).max(SMALLEST);
-        SimulatedTenant::new(place, per_second, SENDS[place % SENDS.len()])
+    let tenant = |index: usize| {
+        let per_second = (LARGEST_RATE / (1.0 + index as f64).powf(0.8)).max(SMALLEST_RATE);
+        SimulatedTenant::new(index, per_second, DEMANDS[index % DEMANDS.len()])
     };
-    (0..count).map(of).collect()
+    (0..count).map(tenant).collect()
 }
 
-/// What tenants that send such a part of their limits met.
+/// Outcome of the requests of all tenants with the same demand.
 #[derive(Clone, Copy, Debug, Default)]
-struct Met {
+struct DemandOutcome {
     conforming: usize,
     refused: usize,
     undecided: usize,
-    used: f64,
+    utilization: f64,
 }
 
-/// What a play showed.
-struct Shown {
-    /// Most that ran in any window, against the bound.
-    worst_window: f64,
-    met: Vec<(f64, Met)>,
-    bytes: f64,
-    datagrams: f64,
-    /// Waits in milliseconds: the middle one, and that of which 1 in 100 are longer.
-    waits: (f64, f64),
+/// Measurements of a scenario run.
+struct RunResult {
+    /// Highest usage of any tenant in any window, as a fraction of the bound.
+    peak_usage_ratio: f64,
+    by_demand: Vec<(f64, DemandOutcome)>,
+    bytes_per_node_second: f64,
+    datagrams_per_node_second: f64,
+    /// Median and 99th percentile of the wait for a decision.
+    wait_millis: (f64, f64),
 }
 
-impl Shown {
+impl RunResult {
     fn of<Policy: SimulatedPolicy>(
         world: &QuotaWorld<Policy>,
         nodes: usize,
         from: u64,
         until: u64,
-    ) -> Shown {
+    ) -> RunResult {
         let tenants = || world.tenants.iter().zip(&world.outcomes);
-        let worst = |(tenant, outcome): (&SimulatedTenant, &Outcome)| {
+        let ratio = |(tenant, outcome): (&SimulatedTenant, &Outcome)| {
             outcome.peak_usage_ratio(&tenant.limit.limit)
         };
-        let met = |sends: &f64| {
-            let of = tenants().filter(|(tenant, _)| tenant.demand[0].1 == *sends);
-            let mut met = Met::default();
+        let by_demand = |demand: &f64| {
+            let matching = tenants().filter(|(tenant, _)| tenant.demand[0].1 == *demand);
+            let mut total = DemandOutcome::default();
             let mut count = 0.0;
-            for (tenant, outcome) in of {
-                met.conforming += outcome.conforming;
-                met.refused += outcome.conforming_refused;
-                met.undecided += outcome.undecided;
-                met.used += outcome.utilization(&tenant.limit.limit, from, until);
+            for (tenant, outcome) in matching {
+                total.conforming += outcome.conforming;
+                total.refused += outcome.conforming_refused;
+                total.undecided += outcome.undecided;
+                total.utilization += outcome.utilization(&tenant.limit.limit, from, until);
                 count += 1.0;
             }
-            met.used /= count;
-            (*sends, met)
+            total.utilization /= count;
+            (*demand, total)
         };
         let mut waits = world.waits.clone();
         waits.sort_unstable();
-        let wait = |hundredths: usize| waits[waits.len() * hundredths / 100] as f64 / 1000.0;
+        let wait = |percentile: usize| waits[waits.len() * percentile / 100] as f64 / 1000.0;
         let node_seconds = (nodes as u64 * (until - from)) as f64;
-        Shown {
-            worst_window: tenants().map(worst).fold(0.0, f64::max),
-            met: SENDS.iter().map(met).collect(),
-            bytes: world.sent_bytes as f64 / node_seconds,
-            datagrams: world.sent_datagrams as f64 / node_seconds,
-            waits: (wait(50), wait(99)),
+        RunResult {
+            peak_usage_ratio: tenants().map(ratio).fold(0.0, f64::max),
+            by_demand: DEMANDS.iter().map(by_demand).collect(),
+            bytes_per_node_second: world.sent_bytes as f64 / node_seconds,
+            datagrams_per_node_second: world.sent_datagrams as f64 / node_seconds,
+            wait_millis: (wait(50), wait(99)),
         }
     }
 
-    fn met(&self, sends: f64) -> Met {
-        self.met.iter().find(|(known, _)| *known == sends).unwrap().1
+    fn by_demand(&self, demand: f64) -> DemandOutcome {
+        self.by_demand.iter().find(|(known, _)| *known == demand).unwrap().1
     }
 
-    fn refused_share(&self, sends: f64) -> f64 {
-        let met = self.met(sends);
-        met.refused as f64 / met.conforming as f64
+    fn refused_share(&self, demand: f64) -> f64 {
+        let outcome = self.by_demand(demand);
+        outcome.refused as f64 / outcome.conforming as f64
     }
 
-    fn line(&self) -> String {
-        let percent = |sends| 100.0 * self.refused_share(sends);
+    fn summary(&self) -> String {
+        let percent = |demand| 100.0 * self.refused_share(demand);
         format!(
             "{:.2} | {:.2}, {:.2}, {:.2} | {:.2}, {:.2} | {:.0}; {:.0} | {:.1}; {:.0}",
-            self.worst_window,
+            self.peak_usage_ratio,
             percent(0.5),
             percent(0.9),
             percent(1.0),
-            self.met(1.5).used,
-            self.met(7.0).used,
-            self.bytes,
-            self.datagrams,
-            self.waits.0,
-            self.waits.1,
+            self.by_demand(1.5).utilization,
+            self.by_demand(7.0).utilization,
+            self.bytes_per_node_second,
+            self.datagrams_per_node_second,
+            self.wait_millis.0,
+            self.wait_millis.1,
         )
     }
 }
 
-/// Plays so many seconds; what happens is told at the begin of each.
-fn play<Policy: SimulatedPolicy>(
+/// Runs a scenario for this many seconds after the warm-up. `each_second` is called at the start of
+/// each second to induce faults.
+fn run_scenario<Policy: SimulatedPolicy>(
     nodes: usize,
     tenant_count: usize,
     seconds: u64,
     seed: u64,
-    happen: impl Fn(&mut QuotaWorld<Policy>, u64),
-) -> Shown {
+    each_second: impl Fn(&mut QuotaWorld<Policy>, u64),
+) -> RunResult {
     let mut world = QuotaWorld::new(nodes, tenants(tenant_count), seed);
     world.run_until(WARM_UP_SECONDS);
     world.start_traffic();
     for second in 0..seconds {
-        happen(&mut world, second);
+        each_second(&mut world, second);
         world.run_until(WARM_UP_SECONDS + second + 1);
     }
-    Shown::of(&world, nodes, WARM_UP_SECONDS, WARM_UP_SECONDS + seconds)
+    RunResult::of(&world, nodes, WARM_UP_SECONDS, WARM_UP_SECONDS + seconds)
 }
 
 fn kill_all<Policy: SimulatedPolicy>(nodes: usize) -> impl Fn(&mut QuotaWorld<Policy>, u64) {
@@ -162,103 +164,121 @@
     }
 }
 
-/// Starts each node anew in turn, two a second.
-fn restart_in_turn<Policy: SimulatedPolicy>(nodes: usize) -> impl Fn(&mut QuotaWorld<Policy>, u64) {
+/// Restarts one node after the other, two a second.
+fn rolling_restart<Policy: SimulatedPolicy>(nodes: usize) -> impl Fn(&mut QuotaWorld<Policy>, u64) {
     move |world, second| {
         for half in 0..2 {
-            let place = (2 * second + half) as usize % nodes;
-            let node = world.address(place);
+            let index = (2 * second + half) as usize % nodes;
+            let node = world.address(index);
             world.kill(node);
-            world.start(place..place + 1);
+            world.start(index..index + 1);
         }
     }
 }
 
-fn assert_bound(shown: &Shown, what: &str) {
-    let worst = shown.worst_window;
-    assert!(worst <= 1.0, "{what}: {worst:.3} of what may run ran in a window: {}", shown.line());
+fn assert_bound(result: &RunResult, scenario: &str) {
+    let ratio = result.peak_usage_ratio;
+    assert!(
+        ratio <= 1.0,
+        "{scenario}: peak usage is {ratio:.3} of the bound: {}",
+        result.summary()
+    );
 }
 
 #[test]
-fn nobody_within_a_limit_is_refused_and_a_limit_is_used_under_pressure() {
+fn conforming_requests_are_admitted_and_limits_are_used_under_overload() {
     for seed in 1..=seed_count(1) {
-        // Of a hundred tenants the small ones send a request each few seconds: two questions
-        // of one node were once taken for a fleet that had fallen apart.
+        // Of a hundred tenants, the small ones send a request every few seconds. A lender took two
+        // token requests from the same node for a sign of a partitioned fleet.
         for (nodes, count) in [(6, 10), (6, 100), (30, 10), (30, 100)] {
-            let shown = play::<LendingPolicy>(nodes, count, 12, seed, |_, _| {});
-            assert_bound(&shown, "all is well");
-            for sends in [0.5, 0.9] {
-                let share = shown.refused_share(sends);
-                assert!(share < REFUSED_WITHIN, "{nodes} nodes, {sends}: {}", shown.line());
+            let result = run_scenario::<LendingPolicy>(nodes, count, 12, seed, |_, _| {});
+            assert_bound(&result, "no faults");
+            for demand in [0.5, 0.9] {
+                let share = result.refused_share(demand);
+                assert!(share < MAX_REFUSED_SHARE, "{nodes} nodes, {demand}: {}", result.summary());
             }
-            for sends in [1.5, 7.0] {
-                let used = shown.met(sends).used;
-                assert!(used >= USED_UNDER_PRESSURE, "{nodes} nodes, {sends}: {}", shown.line());
+            for demand in [1.5, 7.0] {
+                let utilization = result.by_demand(demand).utilization;
+                assert!(
+                    utilization >= MIN_UTILIZATION,
+                    "{nodes} nodes, {demand}: {}",
+                    result.summary()
+                );
             }
         }
     }
 }
 
 #[test]
-fn limits_hold_while_a_third_of_the_nodes_is_cut_off_together() {
+fn limits_hold_while_a_zone_is_isolated() {
     for seed in 1..=seed_count(1) {
-        assert_bound(&play::<LendingPolicy>(30, 10, 14, seed, isolate_zone), "cut off together");
+        assert_bound(
+            &run_scenario::<LendingPolicy>(30, 10, 14, seed, isolate_zone),
+            "isolated zone",
+        );
     }
 }
 
 #[test]
-fn limits_hold_while_a_third_of_the_nodes_is_cut_off_one_by_one() {
+fn limits_hold_while_every_third_node_is_isolated() {
     for seed in 1..=seed_count(1) {
-        // A lender that is alone counts few questions, of its own callers only: in a fleet
-        // of six it once lent its whole limit for a further three seconds, 1.11 of the bound.
+        // An isolated lender receives few token requests, all of them from its own clients. In a
+        // fleet of six, one lent its whole limit for another three seconds, 1.11 of the bound.
         for (nodes, count) in [(3, 16), (6, 16), (30, 10)] {
-            let shown = play::<LendingPolicy>(nodes, count, 14, seed, isolate_every_third_node);
-            assert_bound(&shown, "cut off one by one");
+            let result =
+                run_scenario::<LendingPolicy>(nodes, count, 14, seed, isolate_every_third_node);
+            assert_bound(&result, "isolated nodes");
         }
     }
 }
 
-/// All that is known of use is lost with the nodes. Requests within limits are served again
-/// a moment after the nodes are back.
+/// The nodes lose all knowledge of earlier usage. Conforming requests are admitted again soon after
+/// the restart.
 #[test]
-fn limits_hold_when_all_nodes_are_killed_and_requests_within_them_are_served_soon() {
+fn limits_hold_and_conforming_requests_are_admitted_after_all_nodes_are_killed() {
     for seed in 1..=seed_count(1) {
         for nodes in [6, 30] {
-            let shown = play::<LendingPolicy>(nodes, 10, 12, seed, kill_all(nodes));
-            assert_bound(&shown, "killed");
-            let share = shown.refused_share(0.5);
-            assert!(share < 0.05, "{nodes} nodes: {}", shown.line());
+            let result = run_scenario::<LendingPolicy>(nodes, 10, 12, seed, kill_all(nodes));
+            assert_bound(&result, "all nodes killed");
+            let share = result.refused_share(0.5);
+            assert!(share < 0.05, "{nodes} nodes: {}", result.summary());
         }
     }
 }
 
 #[test]
-fn limits_hold_while_lenders_freeze_and_wake() {
+fn limits_hold_while_lenders_freeze_and_resume() {
     for seed in 1..=seed_count(1) {
-        assert_bound(&play::<LendingPolicy>(30, 10, 14, seed, freeze_lenders), "frozen");
+        assert_bound(
+            &run_scenario::<LendingPolicy>(30, 10, 14, seed, freeze_lenders),
+            "frozen lenders",
+        );
     }
 }
 
 #[test]
 fn limits_hold_while_lenders_are_killed() {
     for seed in 1..=seed_count(1) {
-        assert_bound(&play::<LendingPolicy>(30, 10, 10, seed, kill_lenders), "lenders killed");
+        assert_bound(
+            &run_scenario::<LendingPolicy>(30, 10, 10, seed, kill_lenders),
+            "killed lenders",
+        );
     }
 }
 
 #[test]
-fn limits_hold_while_all_nodes_start_again_in_turn() {
+fn limits_hold_during_a_rolling_restart() {
     for seed in 1..=seed_count(1) {
         for nodes in [6, 30] {
-            let shown = play::<LendingPolicy>(nodes, 10, 14, seed, restart_in_turn(nodes));
-            assert_bound(&shown, "started again in turn");
+            let result = run_scenario::<LendingPolicy>(nodes, 10, 14, seed, rolling_restart(nodes));
+            assert_bound(&result, "rolling restart");
         }
     }
 }
 
-/// The same limit, lowered and lifted while requests run.
+/// All limits are lowered to a quarter while requests run.
 #[test]
-fn a_lower_limit_holds_a_moment_after_the_nodes_know_it() {
+fn lowered_limits_hold_once_requests_carry_the_new_version() {
     let mut world = QuotaWorld::<LendingPolicy>::new(30, tenants(10), 3);
     world.run_until(WARM_UP_SECONDS);
     world.start_traffic();
@@ -271,73 +291,72 @@
     world.outcomes.iter_mut().for_each(|outcome| *outcome = Outcome::default());
     world.run_until(WARM_UP_SECONDS + 16);
     for (tenant, outcome) in world.tenants.iter().zip(&world.outcomes) {
-        let worst = outcome.peak_usage_ratio(&tenant.limit.limit);
-        assert!(worst <= 1.0, "{tenant:?}: {worst:.3}");
+        let ratio = outcome.peak_usage_ratio(&tenant.limit.limit);
+        assert!(ratio <= 1.0, "{tenant:?}: {ratio:.3}");
     }
 }
 
-/// A play with its name.
-type Play<Policy> =
-    (&'static str, fn(usize, usize, u64) -> (Shown, std::marker::PhantomData<Policy>));
+/// A scenario's name, and a function that runs it with numbers of nodes and tenants and a seed.
+type Scenario<Policy> =
+    (&'static str, fn(usize, usize, u64) -> (RunResult, std::marker::PhantomData<Policy>));
 
-fn plays<Policy: SimulatedPolicy>() -> Vec<Play<Policy>> {
-    fn shown<Policy: SimulatedPolicy>(
+fn scenarios<Policy: SimulatedPolicy>() -> Vec<Scenario<Policy>> {
+    fn run<Policy: SimulatedPolicy>(
         nodes: usize,
         tenants: usize,
         seed: u64,
-        happen: impl Fn(&mut QuotaWorld<Policy>, u64),
-    ) -> (Shown, std::marker::PhantomData<Policy>) {
-        (play::<Policy>(nodes, tenants, 16, seed, happen), std::marker::PhantomData)
+        each_second: impl Fn(&mut QuotaWorld<Policy>, u64),
+    ) -> (RunResult, std::marker::PhantomData<Policy>) {
+        (run_scenario::<Policy>(nodes, tenants, 16, seed, each_second), std::marker::PhantomData)
     }
     vec![
-        ("steady", |nodes, tenants, seed| shown(nodes, tenants, seed, |_, _| {})),
-        ("a third cut off together", |nodes, tenants, seed| {
-            shown(nodes, tenants, seed, isolate_zone)
-        }),
-        ("a third cut off one by one", |nodes, tenants, seed| {
-            shown(nodes, tenants, seed, isolate_every_third_node)
+        ("no faults", |nodes, tenants, seed| run(nodes, tenants, seed, |_, _| {})),
+        ("isolated zone", |nodes, tenants, seed| run(nodes, tenants, seed, isolate_zone)),
+        ("isolated nodes", |nodes, tenants, seed| {
+            run(nodes, tenants, seed, isolate_every_third_node)
         }),
-        ("all killed", |nodes, tenants, seed| shown(nodes, tenants, seed, kill_all(nodes))),
-        ("lenders frozen", |nodes, tenants, seed| shown(nodes, tenants, seed, freeze_lenders)),
-        ("started again in turn", |nodes, tenants, seed| {
-            shown(nodes, tenants, seed, restart_in_turn(nodes))
+        ("all nodes killed", |nodes, tenants, seed| run(nodes, tenants, seed, kill_all(nodes))),
+        ("frozen lenders", |nodes, tenants, seed| run(nodes, tenants, seed, freeze_lenders)),
+        ("rolling restart", |nodes, tenants, seed| {
+            run(nodes, tenants, seed, rolling_restart(nodes))
         }),
     ]
 }
 
 #[test]
-fn table_of_both_ways() {
+fn table_of_both_policies() {
     if std::env::var("COMETMOOR_QUOTA_TABLE").is_err() {
         return;
     }
     eprintln!(
-        "worst window | refused at 0.5, 0.9, 1.0 (%) | used at 1.5, 7 | B; datagrams a node and second | wait ms, middle; 99%"
+        "peak of the bound | refused at 0.5, 0.9, 1.0 (%) | used at 1.5, 7 | B; datagrams per node and second | wait ms, median; p99"
     );
     for (nodes, tenants) in [(6, 16), (30, 16), (90, 16), (300, 16), (90, 300)] {
-        for ((name, lent), (_, summed)) in
-            plays::<LendingPolicy>().into_iter().zip(plays::<SummedUsagePolicy>())
+        for ((name, run_lending), (_, run_summed)) in
+            scenarios::<LendingPolicy>().into_iter().zip(scenarios::<SummedUsagePolicy>())
         {
-            let worst = (1..=seed_count(1)).map(|seed| lent(nodes, tenants, seed).0.worst_window);
-            let worst = worst.fold(0.0, f64::max);
+            let peaks = (1..=seed_count(1))
+                .map(|seed| run_lending(nodes, tenants, seed).0.peak_usage_ratio);
+            let peak = peaks.fold(0.0, f64::max);
             eprintln!(
-                "{nodes} nodes, {tenants} tenants, {name}, lent (worst of {} seeds {worst:.2}) | {}",
+                "{nodes} nodes, {tenants} tenants, {name}, lending (peak of {} seeds {peak:.2}) | {}",
                 seed_count(1),
-                lent(nodes, tenants, 1).0.line()
+                run_lending(nodes, tenants, 1).0.summary()
             );
             eprintln!(
-                "{nodes} nodes, {tenants} tenants, {name}, summed | {}",
-                summed(nodes, tenants, 1).0.line()
+                "{nodes} nodes, {tenants} tenants, {name}, summed usage | {}",
+                run_summed(nodes, tenants, 1).0.summary()
             );
         }
     }
 }
 
-/// Small limits, where the excess is worth a few requests only: one that is pressed, beside one
-/// that is used in part.
-fn play_small_limits(
+/// Runs a scenario with two small limits, whose excess is worth only a few requests: one
+/// overloaded, and one that is used in part.
+fn run_small_limits(
     nodes: usize,
     seed: u64,
-    happen: impl Fn(&mut QuotaWorld<LendingPolicy>, u64),
+    each_second: impl Fn(&mut QuotaWorld<LendingPolicy>, u64),
 ) -> QuotaWorld<LendingPolicy> {
     let bounds = QuotaBounds { slack: 0.0, ..BOUNDS };
     let tenants = vec![SimulatedTenant::new(0, 200.0, 7.0), SimulatedTenant::new(1, 200.0, 0.25)];
@@ -345,13 +364,13 @@
     world.run_until(WARM_UP_SECONDS);
     world.start_traffic();
     for second in 0..14 {
-        happen(&mut world, second);
+        each_second(&mut world, second);
         world.run_until(WARM_UP_SECONDS + second + 1);
     }
     world
 }
 
-fn freeze_the_first_lender(world: &mut QuotaWorld<LendingPolicy>, second: u64) {
+fn freeze_small_limit_lender(world: &mut QuotaWorld<LendingPolicy>, second: u64) {
     if second == 2 || second == 8 {
         let lender = world.lender(0);
         world.freeze(lender, 4000);
@@ -359,51 +378,54 @@
 }
 
 #[test]
-fn a_small_limit_holds_while_nodes_are_cut_off_frozen_or_killed() {
-    type Happen = fn(&mut QuotaWorld<LendingPolicy>, u64);
-    let happens: [(&str, Happen); 4] = [
-        ("cut off together", isolate_zone),
-        ("cut off one by one", isolate_every_third_node),
-        ("frozen", freeze_the_first_lender),
-        ("lenders killed", kill_lenders_of_small_limits),
+fn small_limits_hold_while_nodes_are_isolated_frozen_or_killed() {
+    type EachSecond = fn(&mut QuotaWorld<LendingPolicy>, u64);
+    let scenarios: [(&str, EachSecond); 4] = [
+        ("isolated zone", isolate_zone),
+        ("isolated nodes", isolate_every_third_node),
+        ("frozen lender", freeze_small_limit_lender),
+        ("killed lender", kill_small_limit_lenders),
     ];
     let bounds = QuotaBounds { slack: 0.0, ..BOUNDS };
     for seed in 1..=seed_count(1) {
         for nodes in [4, 6, 30] {
-            for (what, happen) in happens {
-                let world = play_small_limits(nodes, seed, happen);
+            for (scenario, each_second) in scenarios {
+                let world = run_small_limits(nodes, seed, each_second);
                 for (tenant, outcome) in world.tenants.iter().zip(&world.outcomes) {
                     let limit = &tenant.limit.limit;
-                    let worst = outcome.peak_usage(bounds.window) / bounds.max_usage(limit);
-                    assert!(worst <= 1.0, "{nodes} nodes, {what}, seed {seed}: {worst:.3}");
+                    let ratio = outcome.peak_usage(bounds.window) / bounds.max_usage(limit);
+                    assert!(ratio <= 1.0, "{nodes} nodes, {scenario}, seed {seed}: {ratio:.3}");
                 }
             }
         }
     }
 }
 
-fn kill_lenders_of_small_limits(world: &mut QuotaWorld<LendingPolicy>, second: u64) {
+fn kill_small_limit_lenders(world: &mut QuotaWorld<LendingPolicy>, second: u64) {
     if (2..4).contains(&second) {
         let lender = world.lender(0);
         world.kill(lender);
     }
 }
 
-/// A fallback lender that holds less than one request costs refuses callers within the limit.
+/// A fallback lender refused conforming requests when it held less than the cost of one request.
 #[test]
-fn nobody_within_a_small_limit_is_refused_while_its_lender_stands_still() {
+fn few_conforming_requests_are_refused_while_the_lender_of_a_small_limit_is_frozen() {
     for seed in 1..=seed_count(1) {
         for nodes in [4, 6, 30] {
             let (sent, refused) = refusals_while_lender_frozen(nodes, seed);
             let share = refused as f64 / sent as f64;
-            assert!(share < REFUSED_WITHIN, "{nodes} nodes, {seed}: {refused} of {sent} refused");
+            assert!(
+                share < MAX_REFUSED_SHARE,
+                "{nodes} nodes, {seed}: {refused} of {sent} refused"
+            );
         }
     }
 }
 
-/// A fallback lender whose sample of the nodes that it reaches is too old gives tokens up.
+/// A fallback lender gave tokens up when its sample of reachable nodes was too old.
 #[test]
-fn nobody_within_a_small_limit_is_refused_while_a_fallback_asks_whom_it_reaches() {
+fn no_conforming_request_is_refused_while_a_fallback_lender_samples_reachable_nodes() {
     let (sent, refused) = refusals_while_lender_frozen(30, 16);
     assert!(refused == 0, "{refused} of {sent} refused");
 }
--- a/crates/cometmoor-gateway/tests/quota_world/equal_shares.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/equal_shares.rs
@@ -1,6 +1,8 @@
-//! Another way to hold limits: each node has an equal share, by the most nodes that it has
-//! seen lately. No messages; a share below one request is used late, and the first tokens of
-//! many nodes add up.
+//! A policy to compare with: each node has an equal share of a limit, by the number of nodes that
+//! it has seen recently.
+//!
+//! It needs no messages. As drawbacks, a share below one request is used late, and the first tokens
+//! of many nodes add up.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -10,16 +12,16 @@
 use cometmoor_core::gateway::quota::{Decision, Effects, QuotaKey, QuotaPolicy, VersionedLimit};
 use cometmoor_core::time::BootInstant;
 
-/// A node with its shares.
+/// The policy at one node, with a token bucket for each limit.
 pub struct EqualSharesPolicy {
-    ranks: FleetView,
+    fleet: FleetView,
     buckets: HashMap<QuotaKey, TokenBucket>,
 }
 
 impl EqualSharesPolicy {
-    /// A node that has just started.
+    /// The policy at a node that has just started and knows no other node.
     pub fn new(own: SocketAddrV4, now: BootInstant) -> EqualSharesPolicy {
-        EqualSharesPolicy { ranks: FleetView::new(own, Vec::new(), now), buckets: HashMap::new() }
+        EqualSharesPolicy { fleet: FleetView::new(own, Vec::new(), now), buckets: HashMap::new() }
     }
 }
 
@@ -34,13 +36,13 @@
         now: BootInstant,
         _: &mut Effects<()>,
     ) -> Decision {
-        let rate = limit.limit.per_second / self.ranks.sharing_count(now) as f64;
-        // A share holds one request at least, or it could never be used; it begins empty, so
-        // that the first ones of all nodes do not add up at once.
-        let most = (limit.limit.burst / self.ranks.sharing_count(now) as f64).max(1.0);
+        let rate = limit.limit.per_second / self.fleet.sharing_count(now) as f64;
+        // A bucket holds at least one request, or it could never be used. It starts empty, so that
+        // the first requests of all nodes do not add up.
+        let capacity = (limit.limit.burst / self.fleet.sharing_count(now) as f64).max(1.0);
         let bucket =
-            self.buckets.entry(key).or_insert_with(|| TokenBucket::new(0.0, most, rate, now));
-        bucket.reconfigure(most, rate, now);
+            self.buckets.entry(key).or_insert_with(|| TokenBucket::new(0.0, capacity, rate, now));
+        bucket.reconfigure(capacity, rate, now);
         if bucket.covers(cost, now) {
             bucket.spend(cost);
             return Decision::Granted;
@@ -57,7 +59,7 @@
     fn receive(&mut self, _: SocketAddrV4, (): (), _: BootInstant, _: &mut Effects<()>) {}
 
     fn set_nodes(&mut self, alive: &[SocketAddrV4], now: BootInstant) {
-        self.ranks.set_alive(alive, now);
+        self.fleet.set_alive(alive, now);
     }
 
     fn tick(&mut self, _: BootInstant, _: &mut Effects<()>) {}
--- a/crates/cometmoor-gateway/tests/quota_world/partitions.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/partitions.rs
@@ -1,8 +1,8 @@
-//! Cuts that plays of limits share: they begin at the second second and end at the tenth.
+//! Network partitions for scenarios of limits. They begin in second 2 and end in second 10.
 
 use super::{QuotaWorld, SimulatedPolicy};
 
-/// Cuts a third of the nodes off, one zone from the others.
+/// Isolates one of three zones from the others. Its nodes, a third of all, still reach each other.
 pub fn isolate_zone<Policy: SimulatedPolicy>(world: &mut QuotaWorld<Policy>, second: u64) {
     match second {
         2 => world.fleet.isolated_zone = Some(1),
@@ -11,7 +11,7 @@
     }
 }
 
-/// Cuts a third of the nodes off, each for itself.
+/// Isolates every third node from all others.
 pub fn isolate_every_third_node<Policy: SimulatedPolicy>(
     world: &mut QuotaWorld<Policy>,
     second: u64,
--- a/crates/cometmoor-gateway/tests/quota_world/simulated_policy.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/simulated_policy.rs
@@ -1,4 +1,4 @@
-//! The ways to hold limits, as the world runs them.
+//! Interface between the simulation and the quota policies that it runs.
 
 use std::fmt::Debug;
 use std::net::SocketAddrV4;
@@ -10,27 +10,27 @@
 use super::equal_shares::EqualSharesPolicy;
 use super::summed_usage::{RemoteUsage, SummedUsagePolicy, Usage};
 
-/// A way to hold limits, as the world runs it.
+/// A quota policy that the simulation can run.
 pub trait SimulatedPolicy: QuotaPolicy<Message: Debug> + Sized {
-    /// A node that has just started.
+    /// The policy at a node that has just started. `first_number` is random for each process.
     fn start(
         own: SocketAddrV4,
         seeds: Vec<SocketAddrV4>,
         bounds: QuotaBounds,
-        number: u64,
+        first_number: u64,
         now: BootInstant,
     ) -> Self;
-    /// Bytes of a message.
-    fn bytes(message: &Self::Message) -> u64;
-    /// Whether requests wait.
+    /// Size of a message, in bytes.
+    fn encoded_len(message: &Self::Message) -> u64;
+    /// Whether requests or responses are awaited, so that ticks have to be frequent.
     fn has_waiting(&self) -> bool;
-    /// What a node tells of its use by its heartbeat, where it does.
-    fn used(&self) -> Vec<(QuotaKey, Usage)> {
+    /// Usage that the node publishes in its heartbeats; empty if the policy does not use it.
+    fn local_usage(&self) -> Vec<(QuotaKey, Usage)> {
         Vec::new()
     }
-    /// Takes what it hears of the use of others.
-    fn hear(&mut self, _used: RemoteUsage, _now: BootInstant) {}
-    /// The node that is asked first for a tenant, where one is.
+    /// Handles the usage that other nodes have published.
+    fn receive_usage(&mut self, _usage: RemoteUsage, _now: BootInstant) {}
+    /// The highest-ranked lender for a tenant's limit; None if the policy has no lenders.
     fn lender_of(&mut self, _tenant: QuotaKey) -> Option<SocketAddrV4> {
         None
     }
@@ -41,13 +41,13 @@
         own: SocketAddrV4,
         seeds: Vec<SocketAddrV4>,
         bounds: QuotaBounds,
-        number: u64,
+        first_number: u64,
         now: BootInstant,
     ) -> Self {
-        LendingPolicy::new(own, seeds, bounds, number, now)
+        LendingPolicy::new(own, seeds, bounds, first_number, now)
     }
 
-    fn bytes(message: &Self::Message) -> u64 {
+    fn encoded_len(message: &Self::Message) -> u64 {
         postcard::to_stdvec(message).unwrap().len() as u64
     }
 
@@ -71,7 +71,7 @@
         EqualSharesPolicy::new(own, now)
     }
 
-    fn bytes(_: &Self::Message) -> u64 {
+    fn encoded_len(_: &Self::Message) -> u64 {
         0
     }
 
@@ -91,7 +91,7 @@
         SummedUsagePolicy::new(own, bounds, now)
     }
 
-    fn bytes(_: &Self::Message) -> u64 {
+    fn encoded_len(_: &Self::Message) -> u64 {
         0
     }
 
@@ -99,11 +99,16 @@
         false
     }
 
-    fn used(&self) -> Vec<(QuotaKey, Usage)> {
-        SummedUsagePolicy::used(self)
+    fn local_usage(&self) -> Vec<(QuotaKey, Usage)> {
+        SummedUsagePolicy::local_usage(self)
     }
 
-    fn hear(&mut self, used: RemoteUsage, now: BootInstant) {
-        self.receive(SocketAddrV4::new([0, 0, 0, 0].into(), 0), used, now, &mut Effects::default());
+    fn receive_usage(&mut self, usage: RemoteUsage, now: BootInstant) {
+        self.receive(
+            SocketAddrV4::new([0, 0, 0, 0].into(), 0),
+            usage,
+            now,
+            &mut Effects::default(),
+        );
     }
 }
--- a/crates/cometmoor-gateway/tests/quota_world/summed_usage.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/summed_usage.rs
@@ -1,10 +1,10 @@
-//! The other way to hold limits: what all nodes have used, summed.
+//! A policy to compare with: it sums the usage of all nodes.
 //!
-//! Nodes tell what they were asked for and what they have admitted; hubs sum it. Each node
-//! keeps a bucket for the whole fleet, takes off what the others used when it hears of it,
-//! and once the bucket runs low lets only the part of its requests through that the limit is
-//! of what is asked for. Nobody is asked for a request, and what is known is some tenths of
-//! a second old.
+//! Nodes publish the amounts that were requested from them and that they have admitted, and hubs
+//! sum them. Each node keeps a token bucket for the whole fleet and deducts the usage of the other
+//! nodes when it learns of it. Once the bucket runs low, the node admits only a fraction of its
+//! requests: at most that of the limit in the total demand. No request waits for another node, but
+//! the known usage is some tenths of a second old.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -17,85 +17,91 @@
 };
 use cometmoor_core::time::BootInstant;
 
-/// Part of the headroom that a bucket holds beyond the burst.
-const BURST_PART: f64 = 0.3;
-/// Part of a full bucket below which requests are let through in part.
-const LOW_PART: f64 = 0.5;
-/// Age of what was heard from which on a node goes by its own share alone.
-const HEARD_FOR: Duration = Duration::from_millis(1500);
-/// Time over which what is asked for is averaged.
-const RATE_SPAN: Duration = Duration::from_millis(600);
-/// Time between two ticks from which on this node has slept.
-const SLEPT_FROM: Duration = Duration::from_secs(1);
-
-/// What was asked for and admitted of a tenant, since a process or a sum began.
+/// Fraction of the headroom that a bucket holds beyond the burst.
+const HEADROOM_FRACTION: f64 = 0.3;
+/// Fraction of a bucket's capacity below which only a fraction of the requests is admitted.
+const LOW_LEVEL_FRACTION: f64 = 0.5;
+/// Time without usage of other nodes after which a node uses only its own share.
+const USAGE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time constant of the moving average of the requested rate.
+const RATE_TIME_CONSTANT: Duration = Duration::from_millis(600);
+/// Time between two ticks from which on this node was suspended.
+const SUSPENDED_FROM: Duration = Duration::from_secs(1);
+
+/// Amounts of a tenant's requests, since the process started or within a sum.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    /// Amount that was asked for.
-    pub asked: f64,
-    /// Amount that was admitted and not given back.
+    /// Amount that was requested.
+    pub requested: f64,
+    /// Amount that was admitted and not refunded.
     pub admitted: f64,
 }
 
 impl Usage {
-    /// The sum.
+    /// The sum of both.
     pub fn plus(self, other: Usage) -> Usage {
-        Usage { asked: self.asked + other.asked, admitted: self.admitted + other.admitted }
+        Usage {
+            requested: self.requested + other.requested,
+            admitted: self.admitted + other.admitted,
+        }
     }
 
-    /// What came since an earlier figure.
+    /// The increase since an earlier value.
     pub fn since(self, earlier: Usage) -> Usage {
-        Usage { asked: self.asked - earlier.asked, admitted: self.admitted - earlier.admitted }
+        Usage {
+            requested: self.requested - earlier.requested,
+            admitted: self.admitted - earlier.admitted,
+        }
     }
 }
 
-/// What the other nodes have used since it was last heard.
+/// Usage of the other nodes since their last report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RemoteUsage {
-    /// By tenant.
-    pub used: Vec<(QuotaKey, Usage)>,
+    /// Usage of each tenant.
+    pub by_tenant: Vec<(QuotaKey, Usage)>,
 }
 
-/// A tenant at this node.
+/// State of a tenant's limit at this node.
 #[derive(Clone, Debug)]
 struct Account {
     limit: VersionedLimit,
     bucket: TokenBucket,
-    /// What this node alone may use where it hears of nobody.
-    own_share: TokenBucket,
-    own: Usage,
-    /// Amount a second that all nodes were asked for.
-    asked_rate: f64,
-    asked_at: BootInstant,
-    /// Amount that may still be let through while the bucket is low.
+    /// This node's share, used when it learns nothing of the other nodes.
+    isolated_bucket: TokenBucket,
+    local: Usage,
+    /// Moving average of the amount requested from all nodes, a second.
+    requested_rate: f64,
+    rate_updated: BootInstant,
+    /// Amount that may still be admitted while the bucket is low.
     credit: f64,
 }
 
-/// A node that goes by what it hears of all.
+/// The policy at one node.
 #[derive(Clone, Debug)]
 pub struct SummedUsagePolicy {
     bounds: QuotaBounds,
-    ranks: FleetView,
+    fleet: FleetView,
     accounts: HashMap<QuotaKey, Account>,
-    heard: Option<BootInstant>,
-    ticked: BootInstant,
+    last_received: Option<BootInstant>,
+    last_tick: BootInstant,
 }
 
 impl SummedUsagePolicy {
-    /// A node that has just started.
+    /// The policy at a node that has just started and knows no other node.
     pub fn new(own: SocketAddrV4, bounds: QuotaBounds, now: BootInstant) -> SummedUsagePolicy {
         SummedUsagePolicy {
             bounds,
-            ranks: FleetView::new(own, Vec::new(), now),
+            fleet: FleetView::new(own, Vec::new(), now),
             accounts: HashMap::new(),
-            heard: None,
-            ticked: now,
+            last_received: None,
+            last_tick: now,
         }
     }
 
-    /// What this node was asked for and has admitted since it began, for the others.
-    pub fn used(&self) -> Vec<(QuotaKey, Usage)> {
-        self.accounts.iter().map(|(tenant, account)| (*tenant, account.own)).collect()
+    /// Usage at this node since it started, to be published to the others.
+    pub fn local_usage(&self) -> Vec<(QuotaKey, Usage)> {
+        self.accounts.iter().map(|(tenant, account)| (*tenant, account.local)).collect()
     }
 
     fn account(
@@ -105,54 +111,56 @@
         now: BootInstant,
     ) -> &mut Account {
         let headroom = self.bounds.headroom(&limit.limit);
-        let (share, sharing) = (self.ranks.live_share(now), self.ranks.sharing_count(now) as f64);
-        let most = (limit.limit.burst + BURST_PART * headroom) * share;
+        let (share, sharing) = (self.fleet.live_share(now), self.fleet.sharing_count(now) as f64);
+        let capacity = (limit.limit.burst + HEADROOM_FRACTION * headroom) * share;
         let rate = limit.limit.per_second;
-        // A process that has just begun knows nothing of what was used before.
-        let is_new = self.ranks.time_since_start(now) < self.bounds.window;
-        let level = if is_new { BURST_PART * headroom * share } else { most };
+        // A process that has just started does not know what was used before.
+        let is_starting = self.fleet.time_since_start(now) < self.bounds.window;
+        let level = if is_starting { HEADROOM_FRACTION * headroom * share } else { capacity };
         let account = self.accounts.entry(tenant).or_insert_with(|| Account {
             limit,
-            bucket: TokenBucket::new(level, most, rate * share, now),
-            own_share: TokenBucket::new(0.0, most / sharing, rate / sharing, now),
-            own: Usage::default(),
-            asked_rate: 0.0,
-            asked_at: now,
+            bucket: TokenBucket::new(level, capacity, rate * share, now),
+            isolated_bucket: TokenBucket::new(0.0, capacity / sharing, rate / sharing, now),
+            local: Usage::default(),
+            requested_rate: 0.0,
+            rate_updated: now,
             credit: 0.0,
         });
         if limit.version > account.limit.version {
             account.limit = limit;
         }
         let rate = account.limit.limit.per_second;
-        account.bucket.reconfigure(most, rate * share, now);
-        account.own_share.reconfigure(most / sharing, rate / sharing, now);
+        account.bucket.reconfigure(capacity, rate * share, now);
+        account.isolated_bucket.reconfigure(capacity / sharing, rate / sharing, now);
         account
     }
 }
 
 impl Account {
-    fn note_asked(&mut self, amount: f64, now: BootInstant) {
-        let spans = now.since(self.asked_at).as_secs_f64() / RATE_SPAN.as_secs_f64();
-        self.asked_rate = self.asked_rate * (-spans).exp() + amount / RATE_SPAN.as_secs_f64();
-        self.asked_at = now;
+    fn record_requested(&mut self, amount: f64, now: BootInstant) {
+        let time_constants =
+            now.since(self.rate_updated).as_secs_f64() / RATE_TIME_CONSTANT.as_secs_f64();
+        self.requested_rate = self.requested_rate * (-time_constants).exp()
+            + amount / RATE_TIME_CONSTANT.as_secs_f64();
+        self.rate_updated = now;
     }
 
     fn admit(&mut self, cost: f64) -> Decision {
-        self.own.admitted += cost;
+        self.local.admitted += cost;
         self.bucket.spend(cost);
         Decision::Granted
     }
 
-    /// Decides by what is known of all nodes.
+    /// Decides by the known usage of all nodes.
     fn decide(&mut self, cost: f64, share: f64, now: BootInstant) -> Decision {
-        let low = self.bucket.capacity() * LOW_PART;
+        let low = self.bucket.capacity() * LOW_LEVEL_FRACTION;
         let level = self.bucket.level(now);
         if level - cost >= low {
             return self.admit(cost);
         }
         let rate = self.limit.limit.per_second * share;
-        let part = (rate / self.asked_rate.max(rate)) * (level / low).clamp(0.0, 1.0);
-        self.credit = (self.credit + cost * part).min(4.0 * cost);
+        let fraction = (rate / self.requested_rate.max(rate)) * (level / low).clamp(0.0, 1.0);
+        self.credit = (self.credit + cost * fraction).min(4.0 * cost);
         if level > 0.0 && self.credit >= cost {
             self.credit -= cost;
             return self.admit(cost);
@@ -174,19 +182,20 @@
         now: BootInstant,
         _: &mut Effects<RemoteUsage>,
     ) -> Decision {
-        let is_alone = self.heard.is_none_or(|heard| now.since(heard) > HEARD_FOR)
-            && self.ranks.sharing_count(now) > 1;
-        let share = self.ranks.live_share(now);
+        let is_isolated =
+            self.last_received.is_none_or(|received| now.since(received) > USAGE_TIMEOUT)
+                && self.fleet.sharing_count(now) > 1;
+        let share = self.fleet.live_share(now);
         let account = self.account(tenant, limit, now);
-        account.own.asked += cost;
-        account.note_asked(cost, now);
-        if !is_alone {
+        account.local.requested += cost;
+        account.record_requested(cost, now);
+        if !is_isolated {
             return account.decide(cost, share, now);
         }
-        if !account.own_share.covers(cost, now) {
+        if !account.isolated_bucket.covers(cost, now) {
             return Decision::Undecided;
         }
-        account.own_share.spend(cost);
+        account.isolated_bucket.spend(cost);
         account.admit(cost)
     }
 
@@ -198,7 +207,7 @@
         _: &mut Effects<RemoteUsage>,
     ) {
         if let Some(account) = self.accounts.get_mut(&tenant) {
-            account.own.admitted -= cost;
+            account.local.admitted -= cost;
             account.bucket.refund(cost);
         }
     }
@@ -206,30 +215,30 @@
     fn receive(
         &mut self,
         _: SocketAddrV4,
-        heard: RemoteUsage,
+        usage: RemoteUsage,
         now: BootInstant,
         _: &mut Effects<RemoteUsage>,
     ) {
-        self.heard = Some(now);
-        for (tenant, used) in heard.used {
+        self.last_received = Some(now);
+        for (tenant, used) in usage.by_tenant {
             if let Some(account) = self.accounts.get_mut(&tenant) {
                 account.bucket.level(now);
                 account.bucket.spend(used.admitted);
-                account.note_asked(used.asked, now);
+                account.record_requested(used.requested, now);
             }
         }
     }
 
     fn set_nodes(&mut self, alive: &[SocketAddrV4], now: BootInstant) {
-        self.ranks.set_alive(alive, now);
+        self.fleet.set_alive(alive, now);
     }
 
     fn tick(&mut self, now: BootInstant, _: &mut Effects<RemoteUsage>) {
-        if now.since(self.ticked) >= SLEPT_FROM {
+        if now.since(self.last_tick) >= SUSPENDED_FROM {
             self.accounts.clear();
-            self.heard = None;
-            self.ranks.reset_stability(now);
+            self.last_received = None;
+            self.fleet.reset_stability(now);
         }
-        self.ticked = now;
+        self.last_tick = now;
     }
 }
