--- a/crates/cometmoor-gateway/tests/quota.rs
+++ b/crates/cometmoor-gateway/tests/quota.rs
@@ -121,20 +121,20 @@
     }
 }
 
-/// Runs a scenario for this many seconds after the warm-up. `each_second` is called at the start of
-/// each second to induce faults.
+/// Runs a scenario for this many seconds after the warm-up. `inject_faults` is called at the start of
+/// each second.
 fn run_scenario<Policy: SimulatedPolicy>(
     nodes: usize,
     tenant_count: usize,
     seconds: u64,
     seed: u64,
-    each_second: impl Fn(&mut QuotaWorld<Policy>, u64),
+    inject_faults: impl Fn(&mut QuotaWorld<Policy>, u64),
 ) -> RunResult {
     let mut world = QuotaWorld::new(nodes, tenants(tenant_count), seed);
     world.run_until(WARM_UP_SECONDS);
     world.start_traffic();
     for second in 0..seconds {
-        each_second(&mut world, second);
+        inject_faults(&mut world, second);
         world.run_until(WARM_UP_SECONDS + second + 1);
     }
     RunResult::of(&world, nodes, WARM_UP_SECONDS, WARM_UP_SECONDS + seconds)
@@ -305,9 +305,9 @@
         nodes: usize,
         tenants: usize,
         seed: u64,
-        each_second: impl Fn(&mut QuotaWorld<Policy>, u64),
+        inject_faults: impl Fn(&mut QuotaWorld<Policy>, u64),
     ) -> (RunResult, std::marker::PhantomData<Policy>) {
-        (run_scenario::<Policy>(nodes, tenants, 16, seed, each_second), std::marker::PhantomData)
+        (run_scenario::<Policy>(nodes, tenants, 16, seed, inject_faults), std::marker::PhantomData)
     }
     vec![
         ("no faults", |nodes, tenants, seed| run(nodes, tenants, seed, |_, _| {})),
@@ -356,7 +356,7 @@
 fn run_small_limits(
     nodes: usize,
     seed: u64,
-    each_second: impl Fn(&mut QuotaWorld<LendingPolicy>, u64),
+    inject_faults: impl Fn(&mut QuotaWorld<LendingPolicy>, u64),
 ) -> QuotaWorld<LendingPolicy> {
     let bounds = QuotaBounds { slack: 0.0, ..BOUNDS };
     let tenants = vec![SimulatedTenant::new(0, 200.0, 7.0), SimulatedTenant::new(1, 200.0, 0.25)];
@@ -364,7 +364,7 @@
     world.run_until(WARM_UP_SECONDS);
     world.start_traffic();
     for second in 0..14 {
-        each_second(&mut world, second);
+        inject_faults(&mut world, second);
         world.run_until(WARM_UP_SECONDS + second + 1);
     }
     world
@@ -379,8 +379,8 @@
 
 #[test]
 fn small_limits_hold_while_nodes_are_isolated_frozen_or_killed() {
-    type EachSecond = fn(&mut QuotaWorld<LendingPolicy>, u64);
-    let scenarios: [(&str, EachSecond); 4] = [
+    type InjectFaults = fn(&mut QuotaWorld<LendingPolicy>, u64);
+    let scenarios: [(&str, InjectFaults); 4] = [
         ("isolated zone", isolate_zone),
         ("isolated nodes", isolate_every_third_node),
         ("frozen lender", freeze_small_limit_lender),
@@ -389,8 +389,8 @@
     let bounds = QuotaBounds { slack: 0.0, ..BOUNDS };
     for seed in 1..=seed_count(1) {
         for nodes in [4, 6, 30] {
-            for (scenario, each_second) in scenarios {
-                let world = run_small_limits(nodes, seed, each_second);
+            for (scenario, inject_faults) in scenarios {
+                let world = run_small_limits(nodes, seed, inject_faults);
                 for (tenant, outcome) in world.tenants.iter().zip(&world.outcomes) {
                     let limit = &tenant.limit.limit;
                     let ratio = outcome.peak_usage(bounds.window) / bounds.max_usage(limit);
