--- a/crates/cometmoor-gateway/src/clock.rs
+++ b/crates/cometmoor-gateway/src/clock.rs
@@ -2,7 +2,7 @@
 //!
 //! Timers of the runtime follow the steady clock, which stands still while a machine is
 //! suspended: they come late by the whole suspension. Those here look again as soon as a
-//! [`SuspensionWatch`] has seen the two clocks drift apart.
+//! [`SuspensionDetector`] has seen the two clocks drift apart.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -89,20 +89,20 @@
 
 /// Notices that the machine was suspended.
 #[derive(Debug)]
-pub struct SuspensionWatch {
+pub struct SuspensionDetector {
     /// Drift of the clocks that is known.
     known: Duration,
 }
 
-impl SuspensionWatch {
+impl SuspensionDetector {
     /// Notices suspensions from now on.
-    pub fn start() -> SuspensionWatch {
-        SuspensionWatch { known: drift() }
+    pub fn start() -> SuspensionDetector {
+        SuspensionDetector { known: drift() }
     }
 
     /// Looks whether the machine was suspended since the last look; wakes all open timers
     /// then.
-    pub fn look(&mut self) {
+    pub fn check(&mut self) {
         let drift = drift();
         let suspended = drift.saturating_sub(self.known);
         self.known = drift;
--- a/crates/cometmoor-gateway/src/control/campaign.rs
+++ b/crates/cometmoor-gateway/src/control/campaign.rs
@@ -12,7 +12,7 @@
 use crate::dialect::{Commit, CommitResult};
 use crate::mirror::MirroredItem;
 use crate::published::Phase;
-use crate::store::{InEra, StoreError};
+use crate::store::{StoreError, StoreResponse};
 
 /// Time since the last message of the leader after which other nodes try to replace it.
 const LEADER_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -79,7 +79,7 @@
     lifetime: Duration,
     immediate: bool,
 ) -> Result<Option<Term>, StoreError> {
-    let read = leader.context().store.read_within(LEADERSHIP_PREFIX, READ_TIMEOUT).await?;
+    let read = leader.context().store.read_with_timeout(LEADERSHIP_PREFIX, READ_TIMEOUT).await?;
     let era = read.position.era;
     let keys = LeadershipKeys::of(era);
     let holder = read.items.get(&keys.holder);
@@ -124,14 +124,17 @@
     let puts =
         vec![(keys.holder.clone(), identity.into_bytes(), lease.id), (keys.last.clone(), last, 0)];
     let committed = store.commit(&Commit { conditions, puts }).await;
-    let is_same_era = |committed: &InEra<CommitResult>| committed.era == era && lease.era == era;
+    let is_same_era =
+        |committed: &StoreResponse<CommitResult>| committed.era == era && lease.era == era;
     match committed {
         Ok(committed) if !is_same_era(&committed) => None,
-        Ok(InEra { content: CommitResult::Committed(revision), .. }) => {
+        Ok(StoreResponse { content: CommitResult::Committed(revision), .. }) => {
             leader.record_acquired(era.fencing_token(revision), sent, predecessor);
             Some(Term { lease, keys, revision, is_wait_recorded: has_waited })
         }
-        Ok(InEra { content: CommitResult::Conflict | CommitResult::LeaseExpired, .. }) => {
+        Ok(StoreResponse {
+            content: CommitResult::Conflict | CommitResult::LeaseExpired, ..
+        }) => {
             let _ = store.revoke_lease(lease).await;
             None
         }
--- a/crates/cometmoor-gateway/src/control/fleet/mod.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/mod.rs
@@ -33,7 +33,7 @@
 pub use self::proofs::GetProof;
 use super::ControlContext;
 use super::demand::FleetDemandMeter;
-use crate::clock::{self, SuspensionWatch};
+use crate::clock::{self, SuspensionDetector};
 use crate::load::{ModelDemand, ModelKey, ServerKey, ServerLoad};
 use crate::membership::{
     CopyVersions, Heartbeat, Membership, OutgoingMessage, PeerPhase, Placement,
@@ -63,7 +63,7 @@
     staleness: StalenessLimits,
     proof_limits: ProofLimits,
     proof_requests: ProofRequests,
-    suspensions: SuspensionWatch,
+    suspensions: SuspensionDetector,
     started: BootInstant,
     phase: Phase,
     copies: HashMap<StorePrefix, Copy>,
@@ -98,7 +98,7 @@
         let settings = &context.settings;
         let mut peers = Membership::new(settings.peer_address, &settings.zone);
         settings.seeds.iter().for_each(|seed| peers.add_contact(*seed, Timestamp(0)));
-        let staleness = settings.staleness();
+        let staleness = settings.staleness_limits();
         let proof_limits = settings.proof_limits();
         let heartbeat = settings.server_heartbeat();
         FleetState {
@@ -106,7 +106,7 @@
             staleness,
             proof_limits,
             proof_requests: ProofRequests::new(rand::random::<u64>() >> 1),
-            suspensions: SuspensionWatch::start(),
+            suspensions: SuspensionDetector::start(),
             started: clock::now(),
             phase: Phase::Starting,
             copies: HashMap::from_iter(StorePrefix::ALL.map(|prefix| (prefix, Copy::default()))),
@@ -399,7 +399,7 @@
     }
 
     fn tick(&mut self) {
-        self.suspensions.look();
+        self.suspensions.check();
         self.context.signals.tick();
         let now = self.now();
         self.peers.tick(now);
--- a/crates/cometmoor-gateway/src/control/watcher.rs
+++ b/crates/cometmoor-gateway/src/control/watcher.rs
@@ -158,7 +158,7 @@
     }
 
     fn limits(&self) -> StalenessLimits {
-        self.context.settings.staleness()
+        self.context.settings.staleness_limits()
     }
 
     /// Reads everything or follows the changes. Returns the next step.
@@ -199,7 +199,7 @@
         match select(pin!(watch), pin!(self.wait_until_refresh())).await {
             Either::Left((watched, _)) => self.handle_watched(watched?, after, requested_at).await,
             Either::Right(((), _)) => {
-                store.distrust_connections();
+                store.close_idle_connections();
                 Ok(Step::FollowAfterPoll)
             }
         }
--- a/crates/cometmoor-gateway/src/forward/logging.rs
+++ b/crates/cometmoor-gateway/src/forward/logging.rs
@@ -98,7 +98,7 @@
             RunMigrationResponse::NoRoom(_) => "no room",
             RunMigrationResponse::NotMoved(_) => "not moved",
         };
-        self.traffic.metrics.run_moves.get_or_create(&StateLabels { state: outcome }).inc();
+        self.traffic.metrics.run_migrations.get_or_create(&StateLabels { state: outcome }).inc();
         info!("[forward] run migration ended", kv: {
             request = &*self.metadata.id,
             route = &*self.route.name,
@@ -114,7 +114,9 @@
     /// Counts a request as answered; returns whether its log line may be written.
     fn record_completion(&self) -> bool {
         self.record_end("answered", "server", "-");
-        self.traffic.metrics.observe(&self.traffic.metrics.whole, clock::elapsed(self.received_at));
+        self.traffic
+            .metrics
+            .observe(&self.traffic.metrics.request_duration, clock::elapsed(self.received_at));
         crate::log::allow_success_line()
     }
 
--- a/crates/cometmoor-gateway/src/forward/mod.rs
+++ b/crates/cometmoor-gateway/src/forward/mod.rs
@@ -343,7 +343,7 @@
         let is_quarantined = self.traffic.quarantine.is_quarantined(self.content);
         let is_allowed = !is_quarantined && self.traffic.try_retry(service);
         if is_allowed {
-            self.traffic.metrics.repeats.inc();
+            self.traffic.metrics.retries.inc();
         }
         is_allowed
     }
--- a/crates/cometmoor-gateway/src/forward/relay.rs
+++ b/crates/cometmoor-gateway/src/forward/relay.rs
@@ -215,7 +215,7 @@
         if !events.is_empty() {
             if let Some(interval) = state.intervals.record(request.received_at, clock::now()) {
                 let metrics = &request.traffic.metrics;
-                metrics.observe(&metrics.between_events, interval);
+                metrics.observe(&metrics.event_interval, interval);
             }
             recorder.record(request);
             push_events(request, &response, state, &events, &mut out);
--- a/crates/cometmoor-gateway/src/forward/send.rs
+++ b/crates/cometmoor-gateway/src/forward/send.rs
@@ -59,7 +59,7 @@
         let record = server.record();
         let started = clock::now();
         let checkout = server.pool.checkout(self.time_left()).await;
-        self.traffic.metrics.observe(&self.traffic.metrics.connect, clock::elapsed(started));
+        self.traffic.metrics.observe(&self.traffic.metrics.connect_time, clock::elapsed(started));
         let connection = match checkout {
             Ok(connection) => connection,
             Err(error) => {
@@ -125,7 +125,7 @@
         };
         self.traffic
             .metrics
-            .observe(&self.traffic.metrics.first_byte, clock::elapsed(self.received_at));
+            .observe(&self.traffic.metrics.time_to_first_byte, clock::elapsed(self.received_at));
         let metadata = self.traffic.dialect.response_metadata(&response.head);
         if metadata.not_run {
             let (status, misdirected) = (response.head.status, metadata.misdirected);
--- a/crates/cometmoor-gateway/src/forward/server_selection.rs
+++ b/crates/cometmoor-gateway/src/forward/server_selection.rs
@@ -91,7 +91,9 @@
                 self.report_wait();
             }
             if done || has_failed || clock::now() >= wait_until {
-                self.traffic.metrics.observe(&self.traffic.metrics.queue, clock::elapsed(started));
+                self.traffic
+                    .metrics
+                    .observe(&self.traffic.metrics.queue_time, clock::elapsed(started));
                 return selection;
             }
             clock::sleep(QUEUE_POLL_INTERVAL).await;
--- a/crates/cometmoor-gateway/src/forward/tenant.rs
+++ b/crates/cometmoor-gateway/src/forward/tenant.rs
@@ -56,7 +56,7 @@
         };
         let started = clock::now();
         let decision = self.traffic.quota.acquire(&tenant, version, self.metadata.tokens()).await;
-        self.traffic.metrics.observe(&self.traffic.metrics.quota, clock::elapsed(started));
+        self.traffic.metrics.observe(&self.traffic.metrics.quota_time, clock::elapsed(started));
         match decision {
             Decision::Granted => {
                 self.charged_tenant.replace(Some(tenant));
@@ -85,9 +85,9 @@
         step: &'static str,
         cause: &'static str,
     ) {
-        self.traffic.metrics.ended(outcome, step, cause);
+        self.traffic.metrics.record_outcome(outcome, step, cause);
         if let Some(tenant) = &*self.tenant.borrow() {
-            self.traffic.metrics.ended_for_tenant(&tenant.name, outcome);
+            self.traffic.metrics.record_tenant_outcome(&tenant.name, outcome);
         }
     }
 
--- a/crates/cometmoor-gateway/src/frontend.rs
+++ b/crates/cometmoor-gateway/src/frontend.rs
@@ -205,7 +205,7 @@
             biased;
             finish = serving => finish,
             () = wait_for_close(&self.stream, &mut self.buffer, MAX_READ_AHEAD) => {
-                self.traffic.metrics.ended("client_left", "client", "-");
+                self.traffic.metrics.record_outcome("client_left", "client", "-");
                 ConnectionAction::Abort
             }
         }
@@ -213,7 +213,7 @@
 
     async fn reject(self, status: u16) {
         warn!("[frontend] a request was rejected", kv: { status, step = "read" });
-        self.traffic.metrics.ended("rejected", "read", "bad input");
+        self.traffic.metrics.record_outcome("rejected", "read", "bad input");
         let answer = LocalResponse::rejected(status);
         let bytes = answer.encode(&*self.traffic.dialect, "", false);
         if write_all(&self.stream, &bytes).await.is_ok() {
@@ -228,7 +228,7 @@
         head: &RequestHead,
         metadata: &RequestMetadata,
     ) -> ConnectionAction {
-        self.traffic.metrics.ended("refused", "key", "no valid key");
+        self.traffic.metrics.record_outcome("refused", "key", "no valid key");
         if crate::log::allow_unauthorized_line() {
             warn!("[frontend] a request without a valid key was refused", kv: {
                 request = &*metadata.id,
@@ -283,7 +283,7 @@
     match decide(&fleet, &head, &metadata) {
         Decision::Answer(own) => {
             let version = fleet.configuration.as_ref().map_or(0, |known| known.version);
-            traffic.metrics.ended("refused", "route", "no route, no key or not ready");
+            traffic.metrics.record_outcome("refused", "route", "no route, no key or not ready");
             warn!("[frontend] answered without a server", kv: {
                 request = &*metadata.id,
                 status = own.status(),
--- a/crates/cometmoor-gateway/src/metrics.rs
+++ b/crates/cometmoor-gateway/src/metrics.rs
@@ -87,7 +87,7 @@
 }
 
 /// A gauge of a figure that need not be whole.
-pub type Amount = Gauge<f64, AtomicU64>;
+pub type FloatGauge = Gauge<f64, AtomicU64>;
 
 /// All metrics.
 pub struct Metrics {
@@ -96,15 +96,15 @@
     pub requests: Family<OutcomeLabels, Counter>,
     tenants: TenantRequests,
     /// Time until it was decided whether a request lies within its tenant's limit.
-    pub quota: Histogram,
+    pub quota_time: Histogram,
     /// Tenants for which this node lends.
-    pub lends: Gauge,
+    pub lending_tenants: Gauge,
     /// Servers for whose limits this node lends.
-    pub lends_for_servers: Gauge,
+    pub lending_servers: Gauge,
     /// Age of the proof that the configuration is the newest, in seconds.
-    pub proof_age: Amount,
+    pub proof_age: FloatGauge,
     /// Sends to servers beyond the first of a request.
-    pub repeats: Counter,
+    pub retries: Counter,
     /// Servers that crashed while requests of this node were there.
     pub server_crashes: Counter,
     /// Contents that were present at crashes, by state: quarantined or suspect.
@@ -113,31 +113,31 @@
     /// Sends that were held back, by what the server reports of itself.
     pub held_back: Family<StateLabels, Counter>,
     /// Servers by what they report of themselves: limited, leaving or resting.
-    pub signaling: Family<StateLabels, Gauge>,
+    pub signaling_servers: Family<StateLabels, Gauge>,
     /// Runs that were stopped to go on at another server, by what came of it.
-    pub run_moves: Family<StateLabels, Counter>,
+    pub run_migrations: Family<StateLabels, Counter>,
     /// Time in the queue for a server.
-    pub queue: Histogram,
+    pub queue_time: Histogram,
     /// Time to get a connection to a server.
-    pub connect: Histogram,
+    pub connect_time: Histogram,
     /// Time from the request to its first byte of answer.
-    pub first_byte: Histogram,
+    pub time_to_first_byte: Histogram,
     /// Time between the pieces of a stream.
-    pub between_events: Histogram,
+    pub event_interval: Histogram,
     /// Time of a whole request.
-    pub whole: Histogram,
+    pub request_duration: Histogram,
     /// Requests in progress.
     pub in_progress: Gauge,
     /// Version of the configuration in force.
     pub configuration_version: Gauge,
     /// Age of what the store last confirmed, in seconds, by copy.
-    pub store_age: Family<CopyLabels, Amount>,
+    pub store_age: Family<CopyLabels, FloatGauge>,
     /// Newest era of the store that this node has heard of.
     pub store_era: Gauge,
     /// Times that the store was seen to have come back from an older copy.
     pub store_losses: Counter,
     /// Whether this node leads.
-    pub leads: Gauge,
+    pub is_leader: Gauge,
     /// Nodes that take requests.
     pub nodes: Gauge,
     /// Servers by state.
@@ -161,28 +161,28 @@
             registry: Registry::with_prefix("cometmoor"),
             requests: Family::default(),
             tenants: TenantRequests::default(),
-            quota: histogram(),
-            lends: Gauge::default(),
-            lends_for_servers: Gauge::default(),
-            proof_age: Amount::default(),
-            repeats: Counter::default(),
+            quota_time: histogram(),
+            lending_tenants: Gauge::default(),
+            lending_servers: Gauge::default(),
+            proof_age: FloatGauge::default(),
+            retries: Counter::default(),
             server_crashes: Counter::default(),
             quarantine: Family::default(),
             signal_changes: Family::default(),
             held_back: Family::default(),
-            signaling: Family::default(),
-            run_moves: Family::default(),
-            queue: histogram(),
-            connect: histogram(),
-            first_byte: histogram(),
-            between_events: histogram(),
-            whole: histogram(),
+            signaling_servers: Family::default(),
+            run_migrations: Family::default(),
+            queue_time: histogram(),
+            connect_time: histogram(),
+            time_to_first_byte: histogram(),
+            event_interval: histogram(),
+            request_duration: histogram(),
             in_progress: Gauge::default(),
             configuration_version: Gauge::default(),
             store_age: Family::default(),
             store_era: Gauge::default(),
             store_losses: Counter::default(),
-            leads: Gauge::default(),
+            is_leader: Gauge::default(),
             nodes: Gauge::default(),
             servers: Family::default(),
             ignored_entries: Gauge::default(),
@@ -201,8 +201,8 @@
         registry.register("requests", "Requests by how they ended", self.requests.clone());
         let tenants = self.tenants.requests.clone();
         registry.register("tenant_requests", "Requests of tenants by how they ended", tenants);
-        registry.register("repeats", "Sends beyond a request's first", self.repeats.clone());
-        registry.register("run_moves", "Runs moved to other servers", self.run_moves.clone());
+        registry.register("repeats", "Sends beyond a request's first", self.retries.clone());
+        registry.register("run_moves", "Runs moved to other servers", self.run_migrations.clone());
         let crashes = self.server_crashes.clone();
         registry.register("server_crashes", "Servers that crashed under requests", crashes);
         let quarantine = self.quarantine.clone();
@@ -211,15 +211,15 @@
         registry.register("signal_changes", "Changes of what servers report", changes);
         let held_back = self.held_back.clone();
         registry.register("held_back", "Sends held back by what servers report", held_back);
-        let signaling = self.signaling.clone();
+        let signaling = self.signaling_servers.clone();
         registry.register("signaling_servers", "Servers by what they report", signaling);
         let times = [
-            ("quota_seconds", "Time to decide on a tenant's limit", &self.quota),
-            ("queue_seconds", "Time in the queue for a server", &self.queue),
-            ("connect_seconds", "Time to get a connection to a server", &self.connect),
-            ("first_byte_seconds", "Time to the first byte of an answer", &self.first_byte),
-            ("between_events_seconds", "Time between pieces of a stream", &self.between_events),
-            ("whole_seconds", "Time of a whole request", &self.whole),
+            ("quota_seconds", "Time to decide on a tenant's limit", &self.quota_time),
+            ("queue_seconds", "Time in the queue for a server", &self.queue_time),
+            ("connect_seconds", "Time to get a connection to a server", &self.connect_time),
+            ("first_byte_seconds", "Time to the first byte of an answer", &self.time_to_first_byte),
+            ("between_events_seconds", "Time between pieces of a stream", &self.event_interval),
+            ("whole_seconds", "Time of a whole request", &self.request_duration),
         ];
         for (name, help, histogram) in times {
             registry.register(name, help, histogram.clone());
@@ -231,14 +231,14 @@
         let gauges = [
             ("in_progress", "Requests in progress", &self.in_progress),
             ("configuration_version", "Version in force", &self.configuration_version),
-            ("lends", "Tenants for which this node lends", &self.lends),
+            ("lends", "Tenants for which this node lends", &self.lending_tenants),
             (
                 "lends_for_servers",
                 "Servers for whose limits this node lends",
-                &self.lends_for_servers,
+                &self.lending_servers,
             ),
             ("store_era", "Newest era of the store", &self.store_era),
-            ("leads", "Whether this node orders the servers", &self.leads),
+            ("leads", "Whether this node orders the servers", &self.is_leader),
             ("nodes", "Nodes that take requests", &self.nodes),
             ("ignored_entries", "Entries that name no server to use", &self.ignored_entries),
             ("dropped_log_lines", "Log lines that were dropped", &self.dropped_lines),
@@ -256,18 +256,18 @@
     }
 
     /// Notes how a request ended.
-    pub fn ended(&self, outcome: &'static str, step: &'static str, cause: &'static str) {
+    pub fn record_outcome(&self, outcome: &'static str, step: &'static str, cause: &'static str) {
         self.requests.get_or_create(&OutcomeLabels { outcome, step, cause }).inc();
     }
 
     /// Notes how a request of a tenant ended.
-    pub fn ended_for_tenant(&self, tenant: &str, outcome: &'static str) {
+    pub fn record_tenant_outcome(&self, tenant: &str, outcome: &'static str) {
         let tenant = self.tenants.label(tenant);
         self.tenants.requests.get_or_create(&TenantLabels { tenant, outcome }).inc();
     }
 
     /// Notes that a server reports something new of itself.
-    pub fn signal_changed(&self, signal: &'static str, event: &'static str) {
+    pub fn record_signal_change(&self, signal: &'static str, event: &'static str) {
         self.signal_changes.get_or_create(&SignalLabels { signal, event }).inc();
     }
 
--- a/crates/cometmoor-gateway/src/node.rs
+++ b/crates/cometmoor-gateway/src/node.rs
@@ -277,7 +277,7 @@
         metrics.configuration_version.set(i64::try_from(version).unwrap_or(i64::MAX));
         metrics.in_progress.set(loads.in_progress() as i64);
         metrics.nodes.set(fleet.nodes.len() as i64);
-        metrics.leads.set(i64::from(fleet.leads));
+        metrics.is_leader.set(i64::from(fleet.leads));
         let copies = [
             (StorePrefix::Configuration, fleet.configuration_confirmed),
             (StorePrefix::Servers, fleet.servers_confirmed),
@@ -297,7 +297,7 @@
         contents("quarantined").set(quarantined as i64);
         contents("suspect").set(suspects as i64);
         let counts = signals.counts();
-        let signaling = |state| metrics.signaling.get_or_create(&StateLabels { state });
+        let signaling = |state| metrics.signaling_servers.get_or_create(&StateLabels { state });
         signaling("limited").set(counts.limited as i64);
         signaling("leaving").set(counts.leaving as i64);
         signaling("resting").set(counts.resting as i64);
@@ -413,7 +413,7 @@
 async fn drain(settings: &GatewaySettings, fleet: &Addr<FleetState>, loads: &LoadBoard) {
     let started = clock::now();
     info!("[node] leaving; clients are sent elsewhere", kv: { in_progress = loads.in_progress() as u64 });
-    let grace = settings.grace();
+    let grace = settings.grace_period();
     let ends = started + grace.saturating_sub(KILL_MARGIN);
     let _ = fleet.send(BeginShutdown(ShutdownTimes { started, deadline: ends })).await;
     let answers_kept = settings.directory_lifetime() * DIRECTORY_LIVES + DIRECTORY_SLACK;
--- a/crates/cometmoor-gateway/src/quota.rs
+++ b/crates/cometmoor-gateway/src/quota.rs
@@ -274,8 +274,8 @@
             for scope in [LimitScope::Tenants, LimitScope::Servers] {
                 self.with_policy(scope, |policy, effects| policy.tick(clock::now(), effects));
             }
-            self.metrics.lends.set(self.tenants.policy.borrow().lending_count() as i64);
-            self.metrics.lends_for_servers.set(self.servers.policy.borrow().lending_count() as i64);
+            self.metrics.lending_tenants.set(self.tenants.policy.borrow().lending_count() as i64);
+            self.metrics.lending_servers.set(self.servers.policy.borrow().lending_count() as i64);
             let has_waiting = |state: &PolicyState| state.policy.borrow().has_waiting();
             if !has_waiting(&self.tenants) && !has_waiting(&self.servers) {
                 let _ = clock::timeout(IDLE_TICK, self.wake_tick.notified()).await;
--- a/crates/cometmoor-gateway/src/settings.rs
+++ b/crates/cometmoor-gateway/src/settings.rs
@@ -234,7 +234,7 @@
     }
 
     /// How old this node's copies of the store may become.
-    pub fn staleness(&self) -> StalenessLimits {
+    pub fn staleness_limits(&self) -> StalenessLimits {
         let millis = self.bounds.drain_millis.min(self.bounds.apply_millis);
         StalenessLimits::new(Duration::from_millis(millis))
     }
@@ -262,7 +262,7 @@
     }
 
     /// Time from the signal to stop until the process is killed.
-    pub fn grace(&self) -> Duration {
+    pub fn grace_period(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.grace_seconds)
     }
 }
--- a/crates/cometmoor-gateway/src/signals.rs
+++ b/crates/cometmoor-gateway/src/signals.rs
@@ -119,7 +119,7 @@
     /// Logs and counts a change. `source` is what it was learned from: `answer`, `call` or `peer`;
     /// `from` is the request or the node concerned.
     pub fn log_change(&self, change: SignalChange, server: &str, source: &str, from: &str) {
-        self.metrics.signal_changed(change.signal(), change.event());
+        self.metrics.record_signal_change(change.signal(), change.event());
         match change {
             SignalChange::LimitSet(per_second) | SignalChange::LimitChanged(per_second) => {
                 info!("[signals] a server has set a limit", kv: { server, per_second, source, from });
@@ -142,7 +142,7 @@
     pub fn tick(&self) {
         for _ in self.with(SignalTable::tick) {
             let change = SignalChange::RestEnded;
-            self.metrics.signal_changed(change.signal(), change.event());
+            self.metrics.record_signal_change(change.signal(), change.event());
         }
     }
 
--- a/crates/cometmoor-gateway/src/store.rs
+++ b/crates/cometmoor-gateway/src/store.rs
@@ -22,39 +22,41 @@
     /// There is no answer.
     Call(CallError),
     /// The answer is not what was expected.
-    Answer(FormatError),
+    InvalidResponse(FormatError),
     /// The answer is of an era that is over.
-    Era(StoreEra),
+    PastEra(StoreEra),
     /// An era began between the pages of a read.
-    EraBegan,
+    EraChanged,
 }
 
 impl std::fmt::Display for StoreError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             StoreError::Call(error) => write!(formatter, "{error}"),
-            StoreError::Answer(error) => write!(formatter, "{error}"),
-            StoreError::Era(era) => write!(formatter, "the answer is of era {era}, which is over"),
-            StoreError::EraBegan => write!(formatter, "an era began between two pages"),
+            StoreError::InvalidResponse(error) => write!(formatter, "{error}"),
+            StoreError::PastEra(era) => {
+                write!(formatter, "the answer is of era {era}, which is over")
+            }
+            StoreError::EraChanged => write!(formatter, "an era began between two pages"),
         }
     }
 }
 
 impl From<FormatError> for StoreError {
     fn from(error: FormatError) -> StoreError {
-        StoreError::Answer(error)
+        StoreError::InvalidResponse(error)
     }
 }
 
 impl From<PastEra> for StoreError {
     fn from(error: PastEra) -> StoreError {
-        StoreError::Era(error.0)
+        StoreError::PastEra(error.0)
     }
 }
 
 /// What the store answered, and the era that it is of.
 #[derive(Clone, Copy, Debug)]
-pub struct InEra<Content> {
+pub struct StoreResponse<Content> {
     /// The era.
     pub era: StoreEra,
     /// What it answered.
@@ -110,7 +112,7 @@
         kind: TrafficKind,
         call: &Call,
         within: Duration,
-    ) -> Result<InEra<Response>, StoreError> {
+    ) -> Result<StoreResponse<Response>, StoreError> {
         let newest_then = self.eras.newest();
         let answer = self.client.call(call, within).await;
         let bytes = answer.as_ref().map_or(0, |answer| answer.body.len());
@@ -118,16 +120,20 @@
         let content = answer.map_err(StoreError::Call)?;
         let number = self.dialect.store_era(&content);
         let era = self.eras.note_answer(kind.name(), number, newest_then)?;
-        Ok(InEra { era, content })
+        Ok(StoreResponse { era, content })
     }
 
     /// Reads all items under a prefix.
     pub async fn read(&self, prefix: &str) -> Result<Mirror, StoreError> {
-        self.read_within(prefix, CALL_TIMEOUT).await
+        self.read_with_timeout(prefix, CALL_TIMEOUT).await
     }
 
     /// The same with a time for each page.
-    pub async fn read_within(&self, prefix: &str, page: Duration) -> Result<Mirror, StoreError> {
+    pub async fn read_with_timeout(
+        &self,
+        prefix: &str,
+        page: Duration,
+    ) -> Result<Mirror, StoreError> {
         let mut read = PagedRead::default();
         while self.read_page(prefix, &mut read, page).await? {}
         Ok(read.finish())
@@ -147,7 +153,7 @@
         let told = self.dialect.parse_range(&answer.content)?;
         let at = StorePosition { era: answer.era, revision: told.revision };
         if read.at.get_or_insert(at).era != answer.era {
-            return Err(StoreError::EraBegan);
+            return Err(StoreError::EraChanged);
         }
         let more = told.more && !told.items.is_empty();
         read.items.extend(told.items);
@@ -172,16 +178,16 @@
 
     /// Uses none of the connections that rest: what was sent on another one has
     /// no answer, and they may have gone silent with it.
-    pub fn distrust_connections(&self) {
+    pub fn close_idle_connections(&self) {
         self.client.close_idle();
     }
 
     /// Writes under conditions.
-    pub async fn commit(&self, commit: &Commit) -> Result<InEra<CommitResult>, StoreError> {
+    pub async fn commit(&self, commit: &Commit) -> Result<StoreResponse<CommitResult>, StoreError> {
         let call = self.dialect.commit(commit);
         let answer = self.call(TrafficKind::StoreCommit, &call, CALL_TIMEOUT).await?;
         let content = self.dialect.parse_commit(&answer.content)?;
-        Ok(InEra { era: answer.era, content })
+        Ok(StoreResponse { era: answer.era, content })
     }
 
     /// Asks for a lease.
