--- a/crates/cometmoor-protocol/src/error.rs
+++ b/crates/cometmoor-protocol/src/error.rs
@@ -1,23 +1,23 @@
-//! The error body that every edge of the system answers with.
+//! The errors that the system reports to clients.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What is known of a failed request.
+/// Whether a failed request may have been run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
     /// No part of the request was or will be run.
     NotRun,
-    /// The request may have been run, wholly or in part.
+    /// The request may have been run, completely or in part.
     Unknown,
 }
 
-/// Step of a request at which an error arose.
+/// Step of a request at which an error occurred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Step {
-    /// Reading and checking what the client sent.
+    /// Reading and validating the client's request.
     Receive,
     /// Checking the client's credentials.
     Authenticate,
@@ -25,49 +25,49 @@
     Resolve,
     /// Waiting for a free slot.
     Admit,
-    /// Choosing a back end.
+    /// Selecting a backend.
     Route,
     /// Looking up or holding an idempotency key.
     Idempotency,
-    /// Passing the request to the node that issued its key.
+    /// Forwarding the request to the node that issued its key.
     Forward,
-    /// Sending the request to a back end.
+    /// Sending the request to a backend.
     Dispatch,
-    /// Reading the back end's answer.
+    /// Reading the backend's response.
     Stream,
-    /// Checking a resource before it is written.
+    /// Validating a resource before it is written.
     Validate,
-    /// Talking to the configuration store.
+    /// Accessing the configuration store.
     Store,
-    /// Talking to another node.
+    /// Calling another node.
     Peer,
 }
 
-/// An error as clients see it.
+/// An error as reported to clients.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "camelCase")]
 pub struct ErrorDetail {
-    /// What went wrong, in one sentence.
+    /// Description of the error, in one sentence.
     pub message: String,
-    /// Step at which it went wrong.
+    /// Step at which the error occurred.
     pub step: Step,
-    /// Address or name of the other side, where there is one.
+    /// Address or name of the peer, if the error concerns one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub peer: Option<String>,
-    /// What is known of the request.
+    /// Whether the request may have been run.
     pub outcome: Outcome,
-    /// Identifier of the request, or of the change to ask about.
+    /// Identifier of the request, or of the change whose result the client may query.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request_id: Option<String>,
-    /// Milliseconds after which a retry makes sense.
+    /// Milliseconds after which the client may retry.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_millis: Option<u64>,
-    /// Names close to the one that was not found.
+    /// Known names that are similar to the one that was not found.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub near_names: Vec<String>,
 }
 
-/// JSON body of every error answer.
+/// JSON body of all error responses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct ErrorBody {
     /// The error.
--- a/crates/cometmoor-protocol/src/lib.rs
+++ b/crates/cometmoor-protocol/src/lib.rs
@@ -1,5 +1,5 @@
-//! Types that cross a process boundary: the operators' resources, the answers
-//! to callers, the model engines' interface and the interface between nodes.
+//! Types that are exchanged between processes: the operators' resources, the responses to clients,
+//! the model engines' interface and the interface between nodes.
 
 pub mod directory;
 pub mod engine;
@@ -11,5 +11,5 @@
 #[rustfmt::skip]
 pub mod peer_capnp;
 
-/// Version of the interface between nodes. Nodes refuse a peer of another one.
+/// Version of the interface between nodes. Nodes refuse peers with another version.
 pub const PEER_PROTOCOL_VERSION: u32 = 1;
--- a/crates/cometmoor-protocol/src/resource.rs
+++ b/crates/cometmoor-protocol/src/resource.rs
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Reads the plural or singular name in any case.
+    /// Parses the plural or singular name, ignoring case. None if there is no such kind.
     pub fn parse(text: &str) -> Option<Kind> {
         let lower = text.to_ascii_lowercase();
         Kind::ALL.into_iter().find(|kind| {
@@ -258,7 +258,7 @@
         }
     }
 
-    /// Identity and versions, to be changed.
+    /// Mutable identity and versions.
     pub fn metadata_mut(&mut self) -> &mut Metadata {
         match self {
             Resource::Model(object) => &mut object.metadata,
@@ -351,26 +351,27 @@
     pub items: Vec<ResourceView>,
 }
 
-/// Format of [`StoredResource`] that this version writes.
+/// Format version of [`StoredResource`] and [`ConfigurationHead`] values that this build writes.
 pub const STORED_FORMAT: u32 = 1;
 
 /// A resource as kept in the configuration store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredResource {
-    /// Format of the value. A node refuses a newer one than it knows.
+    /// Format version of the value. Nodes refuse versions newer than they know.
     pub format: u32,
     /// The resource.
     pub resource: Resource,
 }
 
-/// The key of the store that every configuration change rewrites.
+/// Value of the store key that every configuration change rewrites.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationHead {
-    /// Format of the value.
+    /// Format version of the value.
     pub format: u32,
-    /// Number of changes so far.
+    /// Number of changes made so far.
     pub generation: u64,
-    /// The newest changes, oldest first, to answer for a lost reply.
+    /// Most recent changes, oldest first. A writer whose response was lost finds out from them
+    /// whether its change was made.
     pub recent_changes: Vec<RecentChange>,
 }
 
