--- a/crates/cometmoor-gateway/tests/quota_world/mod.rs
+++ b/crates/cometmoor-gateway/tests/quota_world/mod.rs
@@ -43,7 +43,7 @@
     slack: 17_000.0,
     max_fallback_wait: MAX_TENANT_FALLBACK_WAIT,
 };
-/// Number of datagrams lost of every thousand.
+/// Probability that a datagram is lost, in thousandths.
 const LOST_PER_THOUSAND: u64 = 50;
 /// Network delay within a zone.
 const ZONE_DELAY_MICROS: u64 = 100;
