--- a/crates/cometmoor-gateway/tests/mirror.rs
+++ b/crates/cometmoor-gateway/tests/mirror.rs
@@ -1,4 +1,5 @@
-//! A copy that learns from a peer's copy comes to the same as one that watches.
+//! Mirrors that are updated from a peer's copy hold the same items as those that are updated by
+//! watch events, also when the store is restored.
 
 use cometmoor_core::gateway::store_position::{StoreEra, StorePosition};
 use cometmoor_gateway::dialect::{Item, WatchEvent};
@@ -26,11 +27,11 @@
 }
 
 #[test]
-fn learning_from_a_peer_leads_to_the_same_items() {
+fn updates_from_peer_lead_to_same_items_as_events() {
     for seed in 0..SEEDS {
         let mut random = StdRng::seed_from_u64(seed);
-        let mut watching = Mirror::from_items(Vec::new(), at(1));
-        let mut learning = Mirror::from_items(Vec::new(), at(1));
+        let mut watcher = Mirror::from_items(Vec::new(), at(1));
+        let mut follower = Mirror::from_items(Vec::new(), at(1));
         for revision in 2..STEPS {
             let key = random.random_range(0..KEYS);
             let event = if random.random_bool(0.3) {
@@ -38,17 +39,17 @@
             } else {
                 written(key, revision)
             };
-            watching.apply_events(vec![event]);
+            watcher.apply_events(vec![event]);
             if random.random_bool(0.2) {
-                learning.apply_update(watching.changes_since(learning.position));
-                assert_eq!(learning.items, watching.items, "seed {seed}, revision {revision}");
+                follower.apply_update(watcher.changes_since(follower.position));
+                assert_eq!(follower.items, watcher.items, "seed {seed}, revision {revision}");
             }
         }
     }
 }
 
 #[test]
-fn an_older_update_changes_nothing_and_a_far_one_is_whole() {
+fn older_update_changes_nothing_and_update_from_far_back_is_full() {
     let mut mirror = Mirror::from_items(Vec::new(), at(10));
     mirror.apply_events(vec![written(1, 12)]);
     let old = Mirror::from_items(Vec::new(), at(11));
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn a_key_that_is_gone_does_not_come_back_by_an_older_write() {
+fn removed_key_is_not_restored_by_older_write() {
     let mut mirror = Mirror::from_items(Vec::new(), at(1));
     mirror.apply_events(vec![written(1, 2)]);
     mirror.apply_events(vec![WatchEvent::Gone { key: "k1".to_owned(), revision: 5 }]);
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn what_a_peer_is_told_is_small_and_read_back_as_it_was() {
+fn encoded_update_is_compressed_and_decodes_to_same_update() {
     let routes: String = (0..2_000)
         .map(|number| format!("{{\"name\":\"route-{number}\",\"host\":\"desk.example\"}},"))
         .collect();
@@ -83,14 +84,14 @@
     let mirror = Mirror::from_items(vec![item], at(4));
     let update = mirror.changes_since(at(0));
     let plain = postcard::to_stdvec(&update).unwrap().len();
-    let told = encode_update(&update);
-    assert!(told.len() * 4 < plain, "{} of {plain} bytes", told.len());
-    assert_eq!(decode_update(&told), Some(update));
+    let encoded = encode_update(&update);
+    assert!(encoded.len() * 4 < plain, "{} of {plain} bytes", encoded.len());
+    assert_eq!(decode_update(&encoded), Some(update));
     assert_eq!(decode_update(b"no update"), None);
 }
 
 #[test]
-fn a_copy_of_a_newer_era_replaces_one_with_a_higher_revision() {
+fn copy_of_newer_era_replaces_copy_with_higher_revision() {
     let restored = StorePosition { era: StoreEra::numbered(2), revision: 4 };
     let mut old = Mirror::from_items(Vec::new(), at(10));
     old.apply_events(vec![written(1, 12)]);
@@ -100,60 +101,61 @@
     let outdated = old.changes_since(at(11));
     assert!(old.apply_update(new.changes_since(old.position)));
     assert_eq!((old.position.revision, &old.items), (5, &new.items));
-    assert!(!old.apply_update(outdated), "changes of an era that is over are taken");
+    assert!(!old.apply_update(outdated), "changes of a past era were applied");
     assert!(!old.merge(Mirror::from_items(Vec::new(), at(99))));
 }
 
-/// A configuration of a version, written at a revision.
-fn version(version: u64, revision: u64) -> WatchEvent {
+/// A write of a version of the configuration.
+fn write_of_version(version: u64, revision: u64) -> WatchEvent {
     let value = format!("version {version}").into_bytes();
     let (key, version) = ("configuration".to_owned(), Some(version));
     WatchEvent::Written(Item { key, value, revision, created: 1, version })
 }
 
-/// A copy of an era that holds a version, and the version that it holds then.
-fn holding(era: u32, revision: u64, number: u64) -> Mirror {
+/// A mirror that holds a version of the configuration.
+fn mirror_with_version(era: u32, revision: u64, version: u64) -> Mirror {
     let at = StorePosition { era: StoreEra::numbered(era), revision: revision - 1 };
     let mut mirror = Mirror::from_items(Vec::new(), at);
-    mirror.apply_events(vec![version(number, revision)]);
+    mirror.apply_events(vec![write_of_version(version, revision)]);
     mirror
 }
 
-fn held(mirror: &Mirror) -> (Option<u64>, bool) {
+/// The mirror's version of the configuration, and whether the store has lost it.
+fn held_version(mirror: &Mirror) -> (Option<u64>, bool) {
     let item = &mirror.items["configuration"];
     (item.version, item.is_lost)
 }
 
 #[test]
-fn an_older_version_never_replaces_a_newer_one() {
-    let mut mirror = holding(1, 20, 86);
-    assert!(mirror.merge(holding(2, 9, 83)));
-    assert_eq!((mirror.position.revision, held(&mirror)), (9, (Some(86), true)));
-    mirror.apply_events(vec![version(84, 10)]);
-    assert_eq!(held(&mirror), (Some(86), true));
+fn older_version_never_replaces_newer_one() {
+    let mut mirror = mirror_with_version(1, 20, 86);
+    assert!(mirror.merge(mirror_with_version(2, 9, 83)));
+    assert_eq!((mirror.position.revision, held_version(&mirror)), (9, (Some(86), true)));
+    mirror.apply_events(vec![write_of_version(84, 10)]);
+    assert_eq!(held_version(&mirror), (Some(86), true));
     mirror.apply_events(vec![WatchEvent::Gone { key: "configuration".to_owned(), revision: 11 }]);
-    assert_eq!(held(&mirror), (Some(86), true));
-    mirror.apply_events(vec![version(86, 12)]);
-    assert_eq!(held(&mirror), (Some(86), false));
+    assert_eq!(held_version(&mirror), (Some(86), true));
+    mirror.apply_events(vec![write_of_version(86, 12)]);
+    assert_eq!(held_version(&mirror), (Some(86), false));
 }
 
 #[test]
-fn a_newer_version_is_taken_from_a_peer_whose_copy_is_older() {
-    let mut restored = holding(2, 9, 83);
-    assert!(restored.apply_update(MirrorUpdate::Full(holding(1, 20, 86))));
-    assert_eq!((restored.position.revision, held(&restored)), (9, (Some(86), true)));
-    let mut starting = holding(2, 9, 83);
+fn newer_version_is_adopted_from_older_copy_of_peer() {
+    let mut restored = mirror_with_version(2, 9, 83);
+    assert!(restored.apply_update(MirrorUpdate::Full(mirror_with_version(1, 20, 86))));
+    assert_eq!((restored.position.revision, held_version(&restored)), (9, (Some(86), true)));
+    let mut starting = mirror_with_version(2, 9, 83);
     assert!(starting.apply_update(restored.changes_since(StorePosition::default())));
-    assert_eq!(held(&starting), (Some(86), true));
+    assert_eq!(held_version(&starting), (Some(86), true));
     assert!(
         !starting.apply_update(restored.changes_since(StorePosition::default())),
-        "nothing is new"
+        "there was nothing newer to adopt"
     );
 }
 
 #[test]
-fn a_version_that_cannot_be_read_is_taken_for_the_newest() {
-    let mut mirror = holding(1, 20, 86);
+fn item_without_valid_version_counts_as_newest() {
+    let mut mirror = mirror_with_version(1, 20, 86);
     let item = Item {
         key: "configuration".to_owned(),
         value: b"?".to_vec(),
--- a/crates/cometmoor-gateway/tests/mirror_restores.rs
+++ b/crates/cometmoor-gateway/tests/mirror_restores.rs
@@ -1,5 +1,6 @@
-//! Copies of a store that comes back from older copies, by calls that are answered late and
-//! through peers, come to hold what the store holds, and no older version.
+//! Simulation of nodes whose mirrors follow a store that is restored from older backups. Answers
+//! of the store and updates from peers arrive late and out of order. The mirrors must end up
+//! with what the store holds, and never go back to an older version of the configuration.
 
 use std::collections::BTreeMap;
 
@@ -12,10 +13,10 @@
 const STEPS: usize = 150;
 const NODES: usize = 4;
 const KEYS: u32 = 4;
-/// Key of the item whose versions are numbered.
-const NUMBERED: &str = "configuration";
+/// Key of the item whose writer numbers its versions.
+const VERSIONED_KEY: &str = "configuration";
 
-/// What the store holds, and the changes that led there.
+/// The items in the store, and the changes that led to them.
 #[derive(Clone, Default)]
 struct Contents {
     revision: u64,
@@ -41,22 +42,22 @@
         }
     }
 
-    fn since(&self, after: u64) -> Option<Vec<WatchEvent>> {
+    fn changes_since(&self, after: u64) -> Option<Vec<WatchEvent>> {
         let later = |event: &&WatchEvent| event.revision() > after;
         (after <= self.revision).then(|| self.history.iter().filter(later).cloned().collect())
     }
 }
 
 struct Store {
-    /// Number of the era, where the store tells one.
+    /// Number of the era, if the store sends one.
     era: Option<u32>,
     contents: Contents,
-    /// What it held at some times before.
-    copies: Vec<Contents>,
+    /// Backups, oldest first.
+    backups: Vec<Contents>,
     newest_version: u64,
 }
 
-/// What the store answered at some time, which reaches a node later.
+/// An answer of the store, which reaches the node later.
 #[derive(Clone)]
 enum Answer {
     Read { items: Vec<Item>, at: u64, known: StorePosition },
@@ -65,7 +66,7 @@
 
 #[derive(Clone)]
 enum Message {
-    Store { node: usize, number: Option<u32>, newest_then: StoreEra, answer: Answer },
+    Store { node: usize, number: Option<u32>, newest_at_call: StoreEra, answer: Answer },
     Peer { node: usize, era: StoreEra, update: MirrorUpdate },
 }
 
@@ -77,26 +78,26 @@
 }
 
 impl Node {
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         match message {
-            Message::Store { number, newest_then, answer, .. } => {
-                let era = match self.era.note_answer(number, newest_then) {
+            Message::Store { number, newest_at_call, answer, .. } => {
+                let era = match self.era.note_answer(number, newest_at_call) {
                     AnswerEra::Newest(era) | AnswerEra::New { era, .. } => era,
                     AnswerEra::Past(_) => return,
                 };
-                self.take_answer(era, answer);
+                self.handle_answer(era, answer);
             }
             Message::Peer { era, update, .. } => {
                 self.era.note(era);
                 self.mirror.apply_update(update);
             }
         }
-        let version = self.mirror.items.get(NUMBERED).and_then(|item| item.version);
+        let version = self.mirror.items.get(VERSIONED_KEY).and_then(|item| item.version);
         assert!(version.unwrap_or(0) >= self.version, "{version:?} after {}", self.version);
         self.version = version.unwrap_or(0);
     }
 
-    fn take_answer(&mut self, era: StoreEra, answer: Answer) {
+    fn handle_answer(&mut self, era: StoreEra, answer: Answer) {
         match answer {
             Answer::Read { items, at, known } => {
                 let read = StorePosition { era, revision: at };
@@ -120,7 +121,7 @@
     random: StdRng,
     store: Store,
     nodes: Vec<Node>,
-    on_the_way: Vec<Message>,
+    in_transit: Vec<Message>,
 }
 
 impl World {
@@ -128,51 +129,54 @@
         let store = Store {
             era: numbers_eras.then_some(1),
             contents: Contents::default(),
-            copies: Vec::new(),
+            backups: Vec::new(),
             newest_version: 0,
         };
         let nodes = vec![Node::default(); NODES];
         let mut world =
-            World { random: StdRng::seed_from_u64(seed), store, nodes, on_the_way: Vec::new() };
-        world.write_version();
+            World { random: StdRng::seed_from_u64(seed), store, nodes, in_transit: Vec::new() };
+        world.write_new_version();
         world
     }
 
-    fn write_version(&mut self) {
+    fn write_new_version(&mut self) {
         self.store.newest_version += 1;
-        self.store.contents.write(NUMBERED, Some(self.store.newest_version));
+        self.store.contents.write(VERSIONED_KEY, Some(self.store.newest_version));
     }
 
     fn change(&mut self) {
         let key = format!("server-{}", self.random.random_range(0..KEYS));
         match self.random.random_range(0..6) {
-            0 => self.write_version(),
+            0 => self.write_new_version(),
             1 => self.store.contents.remove(&key),
             _ => self.store.contents.write(&key, None),
         }
     }
 
-    /// The store comes back as of an earlier time.
+    /// Restores the store from a random backup.
     fn restore(&mut self) {
-        if self.store.copies.is_empty() {
+        if self.store.backups.is_empty() {
             return;
         }
-        let place = self.random.random_range(0..self.store.copies.len());
-        self.store.contents = self.store.copies[place].clone();
-        self.store.copies.truncate(place + 1);
+        let index = self.random.random_range(0..self.store.backups.len());
+        self.store.contents = self.store.backups[index].clone();
+        self.store.backups.truncate(index + 1);
         self.store.era = self.store.era.map(|era| era + 1);
     }
 
-    fn ask(&mut self, node: usize) -> Message {
+    fn call_store(&mut self, node: usize) -> Message {
         let known = self.nodes[node].mirror.position;
-        let newest_then = self.nodes[node].era.newest();
-        let reads = known.era < newest_then || !self.nodes[node].mirror.exists();
+        let newest_at_call = self.nodes[node].era.newest();
+        let reads = known.era < newest_at_call || !self.nodes[node].mirror.exists();
         let answer = if reads || self.random.random_bool(0.3) {
             self.read(known)
         } else {
-            Answer::Watch { events: self.store.contents.since(known.revision), after: known }
+            Answer::Watch {
+                events: self.store.contents.changes_since(known.revision),
+                after: known,
+            }
         };
-        Message::Store { node, number: self.store.era, newest_then, answer }
+        Message::Store { node, number: self.store.era, newest_at_call, answer }
     }
 
     fn read(&self, known: StorePosition) -> Answer {
@@ -181,60 +185,60 @@
         Answer::Read { items, at: contents.revision, known }
     }
 
-    fn tell(&mut self, node: usize) -> Option<Message> {
+    /// An update for a node from a random one; `None` if that is itself or has no copy.
+    fn fetch_from_peer(&mut self, node: usize) -> Option<Message> {
         let from = self.random.random_range(0..NODES);
-        let (teller, listener) = (&self.nodes[from].mirror, &self.nodes[node].mirror);
-        if from == node || !teller.exists() {
+        let (source, own) = (&self.nodes[from].mirror, &self.nodes[node].mirror);
+        if from == node || !source.exists() {
             return None;
         }
-        let after =
-            if self.random.random_bool(0.5) { listener.position } else { Default::default() };
-        Some(Message::Peer { node, era: teller.position.era, update: teller.changes_since(after) })
+        let after = if self.random.random_bool(0.5) { own.position } else { Default::default() };
+        Some(Message::Peer { node, era: source.position.era, update: source.changes_since(after) })
     }
 
     fn deliver(&mut self, message: Message) {
         let (Message::Store { node, .. } | Message::Peer { node, .. }) = &message;
         let node = *node;
-        self.nodes[node].take(message);
+        self.nodes[node].handle(message);
     }
 
     fn step(&mut self) {
         let node = self.random.random_range(0..NODES);
         match self.random.random_range(0..20) {
             0..6 => self.change(),
-            6 => self.store.copies.push(self.store.contents.clone()),
+            6 => self.store.backups.push(self.store.contents.clone()),
             7 => self.restore(),
             8..13 => {
-                let message = self.ask(node);
-                self.on_the_way.push(message);
+                let message = self.call_store(node);
+                self.in_transit.push(message);
             }
             13..16 => {
-                let message = self.tell(node);
-                self.on_the_way.extend(message);
+                let message = self.fetch_from_peer(node);
+                self.in_transit.extend(message);
             }
-            _ if self.on_the_way.is_empty() => {}
+            _ if self.in_transit.is_empty() => {}
             _ => {
-                let place = self.random.random_range(0..self.on_the_way.len());
-                let message = self.on_the_way.swap_remove(place);
+                let index = self.random.random_range(0..self.in_transit.len());
+                let message = self.in_transit.swap_remove(index);
                 self.deliver(message);
             }
         }
     }
 
-    /// All that is on the way arrives, the operator writes the newest version again, and each
-    /// node asks until its copy leads on to what the store holds.
+    /// Delivers all messages in transit, writes the newest version again as the operator does,
+    /// and lets each node read the store until its copy is up to date.
     fn settle(&mut self) {
-        while let Some(message) = self.on_the_way.pop() {
+        while let Some(message) = self.in_transit.pop() {
             self.deliver(message);
         }
-        self.store.contents.write(NUMBERED, Some(self.store.newest_version));
+        self.store.contents.write(VERSIONED_KEY, Some(self.store.newest_version));
         for node in 0..NODES {
             for _ in 0..3 {
                 let known = self.nodes[node].mirror.position;
-                let newest_then = self.nodes[node].era.newest();
+                let newest_at_call = self.nodes[node].era.newest();
                 let answer = self.read(known);
                 let number = self.store.era;
-                self.deliver(Message::Store { node, number, newest_then, answer });
+                self.deliver(Message::Store { node, number, newest_at_call, answer });
             }
         }
     }
@@ -251,7 +255,7 @@
 }
 
 #[test]
-fn copies_hold_what_a_store_that_numbers_its_eras_holds() {
+fn mirrors_converge_to_restored_store_with_numbered_eras() {
     for seed in 0..SEEDS {
         let mut world = World::new(seed, true);
         (0..STEPS).for_each(|_| world.step());
--- a/crates/cometmoor-gateway/tests/quarantine.rs
+++ b/crates/cometmoor-gateway/tests/quarantine.rs
@@ -1,6 +1,7 @@
-//! A request that crashes every server that runs it, in fleets of up to a thousand nodes:
-//! what still reaches servers after the third has crashed under it, and what is blamed of
-//! the requests that ran beside it. Figures of a run are printed with `--nocapture`.
+//! Simulation of a request that crashes every server that processes it (a query of death) in
+//! fleets of up to 300 nodes. Counts how often it still reaches servers after the third crash,
+//! and how many harmless requests are blamed with it. The counts of a run are printed with
+//! `--nocapture`.
 
 mod world;
 
@@ -12,127 +13,130 @@
 use world::{Link, World};
 
 /// The request that crashes its servers.
-const DEADLY: Fingerprint = Fingerprint(u64::MAX);
-/// A link of 20 Mbit/s, and as many bytes as the port of a small switch holds.
+const CRASHING: Fingerprint = Fingerprint(u64::MAX);
+/// A link of 20 Mbit/s with the queue of a small switch's port.
 const LINK: Link = Link { bytes_per_step: 125_000, queue_bytes: 128 * 1024 };
-/// Turns between two heartbeats up to 400 nodes.
-const TURNS_OF_HEARTBEAT: u64 = 4;
-/// Time for which nodes must have heard of the third crash, in milliseconds.
-const CONTACT_MILLIS: u64 = 3_000;
-/// Time for which the deadly request comes after the third crash.
-const WATCHED_MILLIS: u64 = 6_000;
-/// Requests that run beside it where a server crashes.
-const BESIDE: u64 = 20;
-/// Time after which a caller that was cut comes again, once.
-const RETURNS_AFTER: u64 = 500;
-/// Time for which a request is at its server.
-const RUNS_FOR: u64 = 1_000;
-
-/// What was counted in one fleet.
+/// Steps between two heartbeats in fleets of up to 400 nodes.
+const HEARTBEAT_STEPS: u64 = 4;
+/// Time after the third crash by which all nodes must know of it, in milliseconds.
+const BOUND_MILLIS: u64 = 3_000;
+/// Time for which the crashing request continues to arrive after the third crash, in
+/// milliseconds.
+const OBSERVED_MILLIS: u64 = 6_000;
+/// Number of harmless requests that are in flight when a server crashes.
+const HARMLESS_PER_CRASH: u64 = 20;
+/// Delay after which the client of an aborted request retries it, once, in milliseconds.
+const RETRY_DELAY: u64 = 500;
+/// Time for which a server processes a request, in milliseconds.
+const PROCESSING_TIME: u64 = 1_000;
+
+/// Counts of one run.
 #[derive(Debug, Default, PartialEq)]
-struct Figures {
-    /// Servers that crashed before the request was quarantined anywhere.
-    crashed_first: u64,
-    /// Sends after the third crash, while nodes heard of it.
-    sent_soon: u64,
-    /// Sends later than the time by which nodes must have heard.
+struct Counts {
+    /// Crashes up to and including the third one.
+    first_crashes: u64,
+    /// Times the crashing request was sent after the third crash, within the time that nodes
+    /// have to learn of it.
+    sent_early: u64,
+    /// Times it was sent later than that.
     sent_late: u64,
-    /// Sound requests that were present at a crash.
-    beside: u64,
-    /// Of those, how many were present at two.
-    beside_twice: u64,
-    /// Of those, how many were refused.
+    /// Harmless requests that were in flight during a crash.
+    harmless: u64,
+    /// Number of those that were in flight during two crashes.
+    harmless_twice: u64,
+    /// Number of those whose retry was refused.
     refused: u64,
 }
 
-/// A sound request that was cut, and comes again at this time.
-struct Cut {
+/// A harmless request that was aborted, and the time at which it is retried.
+struct Aborted {
     content: Fingerprint,
-    at: u64,
+    retry_at: u64,
 }
 
-struct Play {
+struct Simulation {
     world: World,
     servers: u64,
     crashed: u64,
-    third: Option<u64>,
+    /// Time of the third crash.
+    third_crash: Option<u64>,
     next_content: u64,
-    cut: Vec<Cut>,
-    /// Sound requests that run for the second time, their server, and until when.
-    running: Vec<(Fingerprint, u64, u64)>,
-    figures: Figures,
+    aborted: Vec<Aborted>,
+    /// Harmless requests in their second attempt, with their server and the end of processing.
+    retried: Vec<(Fingerprint, u64, u64)>,
+    counts: Counts,
 }
 
-impl Play {
-    fn new(nodes: usize, servers: u64, seed: u64) -> Play {
+impl Simulation {
+    fn new(nodes: usize, servers: u64, seed: u64) -> Simulation {
         let mut world = World::new(seed);
         world.link = Some(LINK);
-        world.large_fleet_heartbeat_steps = TURNS_OF_HEARTBEAT;
+        world.large_fleet_heartbeat_steps = HEARTBEAT_STEPS;
         world.start(0..nodes);
         world.run(5);
-        Play {
+        Simulation {
             world,
             servers,
             crashed: 0,
-            third: None,
+            third_crash: None,
             next_content: 0,
-            cut: Vec::new(),
-            running: Vec::new(),
-            figures: Figures::default(),
+            aborted: Vec::new(),
+            retried: Vec::new(),
+            counts: Counts::default(),
         }
     }
 
-    fn any_node(&mut self) -> SocketAddrV4 {
-        let place = self.world.random_below(self.world.nodes.len() as u64) as usize;
-        *self.world.nodes.keys().nth(place).unwrap()
+    fn random_node(&mut self) -> SocketAddrV4 {
+        let index = self.world.random_below(self.world.nodes.len() as u64) as usize;
+        *self.world.nodes.keys().nth(index).unwrap()
     }
 
-    fn may_be_sent(&mut self, node: SocketAddrV4, content: Fingerprint) -> bool {
+    fn is_allowed(&mut self, node: SocketAddrV4, content: Fingerprint) -> bool {
         let now = Timestamp(self.world.now);
         self.world.nodes[&node].quarantine.status(content, now) == QuarantineStatus::Allowed
     }
 
-    /// The deadly request comes at any node.
-    fn deadly_comes(&mut self) {
-        let node = self.any_node();
-        if !self.may_be_sent(node, DEADLY) {
+    /// The crashing request arrives at a random node.
+    fn receive_crashing_request(&mut self) {
+        let node = self.random_node();
+        if !self.is_allowed(node, CRASHING) {
             return;
         }
-        match self.third {
-            None => self.figures.crashed_first += 1,
-            Some(third) if self.world.now - third <= CONTACT_MILLIS => self.figures.sent_soon += 1,
-            Some(_) => self.figures.sent_late += 1,
+        match self.third_crash {
+            None => self.counts.first_crashes += 1,
+            Some(third) if self.world.now - third <= BOUND_MILLIS => self.counts.sent_early += 1,
+            Some(_) => self.counts.sent_late += 1,
         }
-        let place = self.world.random_below(self.servers);
-        self.server_crashes(node, place);
+        let server = self.world.random_below(self.servers);
+        self.crash_server(node, server);
         if self.crashed == CRASH_LIMIT as u64 {
-            self.third = Some(self.world.now);
+            self.third_crash = Some(self.world.now);
         }
     }
 
-    /// A server crashes while the deadly request, others that are new and those that run for
-    /// the second time are there. Each node blames what it sent.
-    fn server_crashes(&mut self, node: SocketAddrV4, place: u64) {
+    /// A server crashes while the crashing request, new harmless requests and the retried ones
+    /// at this server are in flight. Each request is blamed by the node that sent it.
+    fn crash_server(&mut self, node: SocketAddrV4, server: u64) {
         self.crashed += 1;
         let incarnation = self.crashed as u32;
         let now = self.world.now;
-        self.blame(node, DEADLY, incarnation);
-        for _ in 0..BESIDE {
+        self.blame(node, CRASHING, incarnation);
+        for _ in 0..HARMLESS_PER_CRASH {
             self.next_content += 1;
             let content = Fingerprint(self.next_content);
-            let sender = self.any_node();
+            let sender = self.random_node();
             self.blame(sender, content, incarnation);
-            self.figures.beside += 1;
-            self.cut.push(Cut { content, at: now + RETURNS_AFTER });
+            self.counts.harmless += 1;
+            self.aborted.push(Aborted { content, retry_at: now + RETRY_DELAY });
         }
-        let running = std::mem::take(&mut self.running);
-        let (hit, others) = running.into_iter().partition(|(_, server, _)| *server == place);
-        self.running = others;
-        let hit: Vec<(Fingerprint, u64, u64)> = hit;
-        for (content, _, _) in hit {
-            let sender = self.any_node();
+        let retried = std::mem::take(&mut self.retried);
+        let (in_flight, others) = retried.into_iter().partition(|(_, at, _)| *at == server);
+        self.retried = others;
+        let in_flight: Vec<(Fingerprint, u64, u64)> = in_flight;
+        for (content, _, _) in in_flight {
+            let sender = self.random_node();
             self.blame(sender, content, incarnation);
-            self.figures.beside_twice += 1;
+            self.counts.harmless_twice += 1;
         }
     }
 
@@ -142,96 +146,97 @@
         node.quarantine.note_crash(content, incarnation, now);
     }
 
-    /// Those that were cut come again, and are answered unless their server crashes.
-    fn cut_ones_return(&mut self) {
+    /// Retries the aborted requests that are due. They are answered unless their server crashes.
+    fn retry_aborted(&mut self) {
         let now = self.world.now;
-        let cut = std::mem::take(&mut self.cut);
-        let (due, later) = cut.into_iter().partition(|cut| cut.at <= now);
-        self.cut = later;
-        let due: Vec<Cut> = due;
-        for Cut { content, .. } in due {
-            let node = self.any_node();
-            if !self.may_be_sent(node, content) {
-                self.figures.refused += 1;
+        let aborted = std::mem::take(&mut self.aborted);
+        let (due, later) = aborted.into_iter().partition(|aborted| aborted.retry_at <= now);
+        self.aborted = later;
+        let due: Vec<Aborted> = due;
+        for Aborted { content, .. } in due {
+            let node = self.random_node();
+            if !self.is_allowed(node, content) {
+                self.counts.refused += 1;
                 continue;
             }
-            let place = self.world.random_below(self.servers);
-            self.running.push((content, place, now + RUNS_FOR));
+            let server = self.world.random_below(self.servers);
+            self.retried.push((content, server, now + PROCESSING_TIME));
         }
-        let running = std::mem::take(&mut self.running);
-        let (answered, running) = running.into_iter().partition(|(_, _, end)| *end <= now);
-        self.running = running;
+        let retried = std::mem::take(&mut self.retried);
+        let (answered, retried) = retried.into_iter().partition(|(_, _, end)| *end <= now);
+        self.retried = retried;
         let answered: Vec<(Fingerprint, u64, u64)> = answered;
         for (content, _, _) in answered {
-            let node = self.any_node();
+            let node = self.random_node();
             let now = Timestamp(now);
             self.world.nodes.get_mut(&node).unwrap().quarantine.note_answer(content, now);
         }
     }
 
-    /// Plays returns of the deadly request, so many milliseconds apart.
-    fn run(mut self, pause: u64) -> Figures {
+    /// Runs the simulation with the crashing request arriving at an interval in milliseconds.
+    fn run(mut self, interval: u64) -> Counts {
         let mut next = self.world.now;
-        while self.third.is_none_or(|third| self.world.now < third + WATCHED_MILLIS) {
+        while self.third_crash.is_none_or(|third| self.world.now < third + OBSERVED_MILLIS) {
             if self.world.now >= next {
-                next += pause;
-                self.deadly_comes();
+                next += interval;
+                self.receive_crashing_request();
             }
-            self.cut_ones_return();
+            self.retry_aborted();
             self.world.step();
         }
-        self.figures
+        self.counts
     }
 }
 
-fn play(nodes: usize, servers: u64, pause: u64) -> Figures {
-    let figures = Play::new(nodes, servers, 7).run(pause);
-    eprintln!("{nodes} nodes, {servers} servers, comes every {pause} ms: {figures:?}");
-    figures
+fn simulate(nodes: usize, servers: u64, interval: u64) -> Counts {
+    let counts = Simulation::new(nodes, servers, 7).run(interval);
+    eprintln!("{nodes} nodes, {servers} servers, request every {interval} ms: {counts:?}");
+    counts
 }
 
-/// Where a request came again each second, at any of six nodes, six more of twelve servers
-/// crashed under it later than three seconds after the third. Each node has to hear of a
-/// crash that another saw before the request comes there.
+/// A request that was retried every second at any of six nodes crashed six more of twelve
+/// servers later than three seconds after the third crash. Each node has to learn of a crash
+/// that another one observed before the request arrives there.
 #[test]
-fn no_server_gets_the_request_when_nodes_must_have_heard_of_the_third_end() {
+fn quarantined_request_reaches_no_server_once_all_nodes_must_know_of_third_crash() {
     for (nodes, servers) in [(6, 12), (9, 18), (30, 60), (100, 120)] {
-        for pause in [50, 200, 1_000] {
-            let figures = play(nodes, servers, pause);
-            assert_eq!(figures.sent_late, 0, "{nodes} nodes, every {pause} ms");
-            assert_eq!(figures.refused, 0, "{nodes} nodes, every {pause} ms");
+        for interval in [50, 200, 1_000] {
+            let counts = simulate(nodes, servers, interval);
+            assert_eq!(counts.sent_late, 0, "{nodes} nodes, every {interval} ms");
+            assert_eq!(counts.refused, 0, "{nodes} nodes, every {interval} ms");
         }
     }
 }
 
-/// One that comes again each second crashes three servers and no fourth, at any size.
+/// A request that is retried every second crashes three servers and no fourth one, at any fleet
+/// size.
 #[test]
-fn a_request_that_comes_every_second_crashes_three_servers() {
+fn request_retried_every_second_crashes_only_three_servers() {
     for (nodes, servers) in [(6, 12), (30, 60), (300, 240)] {
-        let figures = play(nodes, servers, 1_000);
-        assert_eq!((figures.crashed_first, figures.sent_soon), (3, 0), "{nodes} nodes");
+        let counts = simulate(nodes, servers, 1_000);
+        assert_eq!((counts.first_crashes, counts.sent_early), (3, 0), "{nodes} nodes");
     }
 }
 
-/// A node that starts again knows nothing. Others report to it what is quarantined, also when
-/// that has not changed for long.
+/// A restarted node has no records. Other nodes report quarantined content to it, even if that
+/// has not changed for a long time.
 #[test]
-fn a_node_that_starts_again_is_told_what_is_quarantined() {
+fn restarted_node_learns_quarantined_content() {
     for nodes in [6, 100] {
-        let mut play = Play::new(nodes, 12, 11);
-        while play.third.is_none() {
-            play.deadly_comes();
-            play.world.run(1);
+        let mut simulation = Simulation::new(nodes, 12, 11);
+        while simulation.third_crash.is_none() {
+            simulation.receive_crashing_request();
+            simulation.world.run(1);
         }
-        play.world.run(5);
-        let restarted: Vec<SocketAddrV4> = play.world.nodes.keys().copied().take(2).collect();
-        restarted.iter().for_each(|node| drop(play.world.nodes.remove(node)));
-        play.world.run(2);
-        play.world.start(0..nodes.min(4));
-        play.world.run(4);
-        let nodes: Vec<SocketAddrV4> = play.world.nodes.keys().copied().collect();
+        simulation.world.run(5);
+        let restarted: Vec<SocketAddrV4> = simulation.world.nodes.keys().copied().take(2).collect();
+        restarted.iter().for_each(|node| drop(simulation.world.nodes.remove(node)));
+        simulation.world.run(2);
+        simulation.world.start(0..nodes.min(4));
+        simulation.world.run(4);
+        let nodes: Vec<SocketAddrV4> = simulation.world.nodes.keys().copied().collect();
         for node in nodes {
-            assert!(!play.may_be_sent(node, DEADLY), "{node} does not know");
+            assert!(!simulation.is_allowed(node, CRASHING), "{node} does not know");
         }
     }
 }
