--- a/crates/cometmoor-gateway/tests/mirror.rs
+++ b/crates/cometmoor-gateway/tests/mirror.rs
@@ -17,11 +17,11 @@
 
 fn written(key: u32, revision: u64) -> WatchEvent {
     let value = revision.to_string().into_bytes();
-    WatchEvent::Written(Item {
+    WatchEvent::Put(Item {
         key: format!("k{key}"),
         value,
         revision,
-        created: revision,
+        create_revision: revision,
         version: None,
     })
 }
@@ -35,7 +35,7 @@
         for revision in 2..STEPS {
             let key = random.random_range(0..KEYS);
             let event = if random.random_bool(0.3) {
-                WatchEvent::Gone { key: format!("k{key}"), revision }
+                WatchEvent::Deleted { key: format!("k{key}"), revision }
             } else {
                 written(key, revision)
             };
@@ -63,7 +63,7 @@
 fn removed_key_is_not_restored_by_older_write() {
     let mut mirror = Mirror::from_items(Vec::new(), at(1));
     mirror.apply_events(vec![written(1, 2)]);
-    mirror.apply_events(vec![WatchEvent::Gone { key: "k1".to_owned(), revision: 5 }]);
+    mirror.apply_events(vec![WatchEvent::Deleted { key: "k1".to_owned(), revision: 5 }]);
     assert!(!mirror.apply_events(vec![written(1, 3)]));
     assert!(mirror.items.is_empty());
     assert!(mirror.apply_events(vec![written(1, 6)]));
@@ -78,7 +78,7 @@
         key: "configuration".into(),
         value: routes.into(),
         revision: 4,
-        created: 1,
+        create_revision: 1,
         version: None,
     };
     let mirror = Mirror::from_items(vec![item], at(4));
@@ -109,7 +109,7 @@
 fn write_of_version(version: u64, revision: u64) -> WatchEvent {
     let value = format!("version {version}").into_bytes();
     let (key, version) = ("configuration".to_owned(), Some(version));
-    WatchEvent::Written(Item { key, value, revision, created: 1, version })
+    WatchEvent::Put(Item { key, value, revision, create_revision: 1, version })
 }
 
 /// A mirror that holds a version of the configuration.
@@ -133,7 +133,8 @@
     assert_eq!((mirror.position.revision, held_version(&mirror)), (9, (Some(86), true)));
     mirror.apply_events(vec![write_of_version(84, 10)]);
     assert_eq!(held_version(&mirror), (Some(86), true));
-    mirror.apply_events(vec![WatchEvent::Gone { key: "configuration".to_owned(), revision: 11 }]);
+    mirror
+        .apply_events(vec![WatchEvent::Deleted { key: "configuration".to_owned(), revision: 11 }]);
     assert_eq!(held_version(&mirror), (Some(86), true));
     mirror.apply_events(vec![write_of_version(86, 12)]);
     assert_eq!(held_version(&mirror), (Some(86), false));
@@ -160,9 +161,9 @@
         key: "configuration".to_owned(),
         value: b"?".to_vec(),
         revision: 21,
-        created: 1,
+        create_revision: 1,
         version: None,
     };
-    mirror.apply_events(vec![WatchEvent::Written(item)]);
+    mirror.apply_events(vec![WatchEvent::Put(item)]);
     assert_eq!(mirror.items["configuration"].value, b"?");
 }
