--- a/crates/cometmoor-gateway/src/control/quarantine.rs
+++ b/crates/cometmoor-gateway/src/control/quarantine.rs
@@ -107,10 +107,10 @@
                 self.leases.insert(content, lease);
             }
         }
-        self.end_leases_of_cleared().await
+        self.revoke_leases_of_cleared().await
     }
 
-    async fn end_leases_of_cleared(&mut self) -> Result<(), StoreError> {
+    async fn revoke_leases_of_cleared(&mut self) -> Result<(), StoreError> {
         let quarantine = &self.context.quarantine;
         let cleared =
             self.leases.iter().filter(|(content, _)| !quarantine.is_quarantined(**content));
--- a/crates/cometmoor-gateway/src/control/watcher.rs
+++ b/crates/cometmoor-gateway/src/control/watcher.rs
@@ -197,7 +197,7 @@
         let (store, requested_at) = (&self.context.store, clock::now());
         let watch = store.watch(self.key_prefix(), after, wait, self.limits().watch_grace());
         match select(pin!(watch), pin!(self.wait_until_refresh())).await {
-            Either::Left((watched, _)) => self.handle_watched(watched?, after, requested_at).await,
+            Either::Left((watched, _)) => self.handle_result(watched?, after, requested_at).await,
             Either::Right(((), _)) => {
                 store.distrust_connections();
                 Ok(Step::FollowAfterPoll)
@@ -228,11 +228,11 @@
     async fn poll(&self, after: StorePosition, failures: u32) -> Result<Step, StoreError> {
         let (timeout, requested_at) = (self.limits().poll_timeout(failures), clock::now());
         let watched = self.context.store.watch(self.key_prefix(), after, NO_WAIT, timeout).await?;
-        self.handle_watched(watched, after, requested_at).await
+        self.handle_result(watched, after, requested_at).await
     }
 
     /// Handles the answer to a watch that began at `requested_at`. Returns the next step.
-    async fn handle_watched(
+    async fn handle_result(
         &self,
         watched: WatchResult,
         after: StorePosition,
