--- a/crates/cometmoor/src/control/engines.rs
+++ b/crates/cometmoor/src/control/engines.rs
@@ -1,4 +1,4 @@
-//! Polls the engines' reports and publishes the routes.
+//! Polls the engines for their reports and publishes the routes that follow from them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,31 +14,32 @@
 use crate::settings::millis;
 use crate::telemetry::log::Part;
 
-/// Polls without an answer after which an engine gets no new requests.
-const POLLS_UNTIL_LOST: u32 = 3;
-/// Share of an engine's concurrency, beyond an equal part for each node, that
-/// one node may use while the others do not.
-const OVERBOOKING: f64 = 2.0;
-/// Fewest requests that a node may have running at an engine.
+/// Number of consecutive failed polls after which an engine gets no new requests.
+const FAILED_POLLS_UNTIL_REMOVED: u32 = 3;
+/// Ratio of a node's limit to its equal share of an engine's concurrency. It is
+/// above 1, so that a node can use capacity that other nodes leave idle.
+const OVERCOMMIT_RATIO: f64 = 2.0;
+/// Lower bound of a node's limit on requests in flight at an engine.
 const MIN_NODE_LIMIT: u32 = 2;
 
-/// Watches the engines for one node.
+/// Polls all declared engines on behalf of one node.
 pub struct EngineMonitor {
     context: Arc<NodeContext>,
     client: EngineClient,
     routes: BTreeMap<String, EngineRoute>,
-    missed: BTreeMap<String, u32>,
+    /// Consecutive failed polls of each engine; no entry after a successful poll.
+    failed_polls: BTreeMap<String, u32>,
     leaving: Arc<LeavingEngines>,
 }
 
-/// Addresses that the platform lists as leaving; the list lags.
+/// Addresses that the platform lists as leaving. The list is updated with a delay.
 #[derive(Default)]
 pub struct LeavingEngines {
     addresses: arc_swap::ArcSwap<BTreeSet<String>>,
 }
 
 impl LeavingEngines {
-    /// Replaces the addresses.
+    /// Replaces all addresses.
     pub fn replace(&self, addresses: BTreeSet<String>) {
         self.addresses.store(Arc::new(addresses));
     }
@@ -49,19 +50,19 @@
 }
 
 impl EngineMonitor {
-    /// A monitor that has heard of no engine yet.
+    /// Creates a monitor without routes; an engine gets one after its first report.
     pub fn new(context: Arc<NodeContext>, leaving: Arc<LeavingEngines>) -> Self {
         let connect_timeout = millis(context.settings.timing.connect_timeout_millis);
         EngineMonitor {
             client: EngineClient::new(connect_timeout),
             context,
             routes: BTreeMap::new(),
-            missed: BTreeMap::new(),
+            failed_polls: BTreeMap::new(),
             leaving,
         }
     }
 
-    /// Runs until the process ends.
+    /// Polls the engines and publishes their routes at regular intervals. Does not return.
     pub async fn run(mut self) {
         let interval = millis(self.context.settings.timing.engine_poll_millis);
         loop {
@@ -78,34 +79,37 @@
             let client = self.client.clone();
             async move { (engine, client.inventory(&engine.spec.address, timeout).await) }
         });
-        let answers = join_all(polls).await;
+        let results = join_all(polls).await;
         let declared: BTreeSet<&String> =
             catalog.engines().map(|engine| &engine.metadata.name).collect();
         self.routes.retain(|name, _| declared.contains(name));
-        for (engine, answer) in answers {
-            match answer {
-                Ok(inventory) => self.heard(engine, &inventory),
-                Err(error) => self.missed(&engine.metadata.name, &error.to_string()),
+        for (engine, result) in results {
+            match result {
+                Ok(inventory) => self.record_report(engine, &inventory),
+                Err(error) => self.record_failure(&engine.metadata.name, &error.to_string()),
             }
         }
     }
 
-    fn heard(&mut self, engine: &Object<EngineSpec>, inventory: &Inventory) {
+    fn record_report(&mut self, engine: &Object<EngineSpec>, inventory: &Inventory) {
         let name = &engine.metadata.name;
-        self.missed.remove(name);
+        self.failed_polls.remove(name);
         let route = self.route(engine, inventory);
-        let before = self.routes.insert(name.clone(), route.clone());
-        if before.is_none_or(|before| before.leaving != route.leaving) {
-            let state = if route.leaving { "is leaving" } else { "takes requests" };
+        let previous = self.routes.insert(name.clone(), route.clone());
+        if previous.is_none_or(|previous| previous.leaving != route.leaving) {
+            let state = if route.leaving { "is leaving" } else { "accepts requests" };
             info!("{} {name} {state}", Part::Engines);
         }
     }
 
-    fn missed(&mut self, name: &str, reason: &str) {
-        let missed = self.missed.entry(name.to_owned()).or_insert(0);
-        *missed += 1;
-        if *missed == POLLS_UNTIL_LOST {
-            warn!("{} {name} is lost: {reason}", Part::Engines);
+    fn record_failure(&mut self, name: &str, reason: &str) {
+        let failures = self.failed_polls.entry(name.to_owned()).or_insert(0);
+        *failures += 1;
+        if *failures == FAILED_POLLS_UNTIL_REMOVED {
+            warn!(
+                "{} polls of {name} keep failing; it gets no new requests: {reason}",
+                Part::Engines
+            );
             self.routes.remove(name);
         }
     }
@@ -133,8 +137,8 @@
 
     fn node_limit(&self, concurrency: u32) -> u32 {
         let nodes = self.context.published.load().members.len().max(1);
-        let part = f64::from(concurrency) * OVERBOOKING / nodes as f64;
-        (part.ceil() as u32).clamp(MIN_NODE_LIMIT, concurrency.max(MIN_NODE_LIMIT))
+        let limit = f64::from(concurrency) * OVERCOMMIT_RATIO / nodes as f64;
+        (limit.ceil() as u32).clamp(MIN_NODE_LIMIT, concurrency.max(MIN_NODE_LIMIT))
     }
 
     fn publish(&self) {
--- a/crates/cometmoor/src/control/mod.rs
+++ b/crates/cometmoor/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! The control thread: the state of the node and all that decides on it.
+//! The control thread: owns the state of the node and makes all decisions about it.
 //!
-//! Its actors and tasks run on one thread. What traffic needs of their state
-//! is published as an immutable [`snapshot::Snapshot`].
+//! Its actors and tasks run on one thread. The part of their state that the traffic
+//! threads need is published as an immutable [`snapshot::Snapshot`].
 
 pub mod configuration;
 pub mod engines;
@@ -30,25 +30,26 @@
 use crate::peer::server::{PeerHandlers, serve as serve_peers};
 use crate::store::etcd::EtcdStore;
 
-/// Least time between two announcements of generations; those between are
-/// announced together.
+/// Minimum time between two announcements of generations; generations that arrive
+/// in between are announced together.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the rest of the node needs of the control thread.
+/// Handles through which the rest of the node uses the control thread.
 pub struct ControlHandles {
-    /// Owner of the configuration.
+    /// Actor that owns the configuration.
     pub configuration: Addr<ConfigurationActor>,
-    /// Owner of the membership.
+    /// Actor that owns the membership.
     pub membership: Addr<MembershipActor>,
-    /// Generation in force.
+    /// Generation of the configuration in force; 0 before the first one.
     pub generations: watch::Receiver<u64>,
     /// Connections to the other nodes.
     pub peers: Rc<PeerClient>,
-    /// Client of the configuration store, with the thread's budget of calls.
+    /// Client of the configuration store, shared so that the thread has one budget of calls.
     pub store: Rc<EtcdStore>,
 }
 
-/// Starts membership and configuration on the calling thread.
+/// Starts the actors of membership and configuration, the server for peers and the relay,
+/// all on the calling thread.
 pub fn start(context: &Arc<NodeContext>, listener: TcpListener) -> ControlHandles {
     let settings = &context.settings;
     let (generation_sender, generations) = watch::channel(0);
@@ -69,7 +70,8 @@
     ControlHandles { configuration, membership, generations, peers, store }
 }
 
-/// Starts what deals with the engines, on the calling thread.
+/// Starts the tasks that deal with engines, on the calling thread: the monitor, the planner
+/// and, if there is a machine list, its watch.
 pub fn start_engine_tasks(context: &Arc<NodeContext>, store: Rc<EtcdStore>) {
     let leaving = Arc::new(LeavingEngines::default());
     actix::spawn(EngineMonitor::new(context.clone(), leaving.clone()).run());
@@ -79,7 +81,8 @@
     }
 }
 
-/// Tells some peers of each new generation at once; they do the same.
+/// Announces each new generation to some peers without delay; they announce it to
+/// others in turn.
 async fn announce_generations(
     mut generations: watch::Receiver<u64>,
     membership: Addr<MembershipActor>,
--- a/crates/cometmoor/src/control/planner/fenced.rs
+++ b/crates/cometmoor/src/control/planner/fenced.rs
@@ -10,7 +10,7 @@
 use super::{ORDER_TIMEOUT, OrderError, usable_bytes};
 use crate::engine::http::EngineClient;
 
-/// An engine that checks fences, with its memory account.
+/// An engine that checks fences, with the ledger of its memory and open orders.
 pub struct FencedEngine {
     address: String,
     epoch: u64,
@@ -20,7 +20,7 @@
 }
 
 impl FencedEngine {
-    /// An engine that has not reported to this planner.
+    /// Creates the state of an engine that has not reported to this planner yet.
     pub fn new(spec: &EngineSpec, epoch: u64) -> FencedEngine {
         FencedEngine {
             address: spec.address.clone(),
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Takes a changed declaration over.
-    pub fn follow(&mut self, spec: &EngineSpec) {
+    /// Applies a changed spec. After a change of the address, a new report is needed.
+    pub fn update_spec(&mut self, spec: &EngineSpec) {
         self.ledger.set_capacity(usable_bytes(spec));
         if self.address != spec.address {
             self.address.clone_from(&spec.address);
@@ -40,21 +40,21 @@
         }
     }
 
-    /// The newest report; none while the engine does not answer.
+    /// The latest report; none if the latest request to the engine failed.
     pub fn inventory(&self) -> Option<&Inventory> {
         self.inventory.as_ref()
     }
 
-    /// What the next orders depend on.
+    /// State from which the next orders are computed; none without a report.
     pub fn state(&self) -> Option<EngineState> {
         let inventory = self.inventory.clone()?;
         let unsettled: BTreeSet<_> = self.ledger.unsettled_artifacts().cloned().collect();
         Some(EngineState { inventory, free_bytes: self.ledger.free_bytes(), unsettled })
     }
 
-    /// Reads the report. Where the fence of this epoch is missing, or an order
-    /// is in doubt, the fence is raised first: the report then settles all
-    /// orders that were sent before.
+    /// Requests a report. If the engine is not known to have a fence of this epoch, or the
+    /// outcome of an order is unknown, the request also raises the fence: its report
+    /// then settles all orders that were sent before.
     pub async fn refresh(&mut self, client: &EngineClient) -> Result<(), OrderError> {
         let result = if self.needs_fence() {
             let fence = self.next_fence();
@@ -63,10 +63,10 @@
         } else {
             client.inventory(&self.address, ORDER_TIMEOUT).await
         };
-        self.take_report(result)
+        self.apply_report(result)
     }
 
-    /// Enters an order into the ledger and sends it.
+    /// Records an order in the ledger and sends it.
     pub async fn order(
         &mut self,
         client: &EngineClient,
@@ -79,7 +79,7 @@
         self.ledger.record_order(fence, action.clone()).map_err(OrderError::Ledger)?;
         let order = Order { incarnation, fence, action };
         let result = client.order(&self.address, &order, ORDER_TIMEOUT).await;
-        self.take_report(result)
+        self.apply_report(result)
     }
 
     fn needs_fence(&self) -> bool {
@@ -93,7 +93,7 @@
         Fence { epoch: self.epoch, sequence }
     }
 
-    fn take_report(
+    fn apply_report(
         &mut self,
         result: Result<Inventory, crate::engine::EngineError>,
     ) -> Result<(), OrderError> {
@@ -104,7 +104,7 @@
                 Ok(())
             }
             Err(error) => {
-                // Until it reports again, nothing is planned on it.
+                // The engine is not part of any plan until it reports again.
                 self.inventory = None;
                 Err(OrderError::Engine(error))
             }
--- a/crates/cometmoor/src/control/planner/mod.rs
+++ b/crates/cometmoor/src/control/planner/mod.rs
@@ -1,9 +1,10 @@
-//! The planner: decides where models sit and orders it.
+//! The planner: decides on which engines models are placed and orders the loads and unloads.
 //!
-//! One node at a time has the role, by a lease in the configuration store. The
-//! revision at which it took the role is its epoch. Safety does not rest on
-//! the lease: engines that check fences refuse an outdated planner, and orders
-//! to the others are harmless when they arrive late, see [`unfenced`].
+//! One node at a time holds the planner's role, by a lease in the configuration
+//! store. The revision at which it acquired the role is its epoch. Safety does not
+//! depend on the lease: engines that check fences refuse orders of an outdated
+//! planner, and orders to the others are harmless if they arrive late, see
+//! [`unfenced`].
 
 mod fenced;
 mod role;
@@ -28,7 +29,7 @@
 use spdlog::{info, warn};
 
 use self::fenced::FencedEngine;
-use self::role::Role;
+use self::role::PlannerRole;
 use self::unfenced::UnfencedEngine;
 use super::relay::read_head;
 use crate::context::NodeContext;
@@ -39,23 +40,23 @@
 use crate::telemetry::log::Part;
 use crate::telemetry::metrics::OrderLabels;
 
-/// Comparisons with the store's generation within the lifetime of the lease.
+/// Number of reads of the store's generation within the lifetime of the lease.
 const HEAD_READS_PER_LEASE: u32 = 4;
-/// Time for an engine to answer an order or a report.
+/// Timeout of an order to an engine and of a request for its report.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why an order was not confirmed.
 #[derive(Debug)]
 enum OrderError {
-    /// The engine did not confirm it.
+    /// The engine could not be reached, refused it, or gave no valid answer.
     Engine(crate::engine::EngineError),
-    /// Its record could not be written.
+    /// The order record could not be read or written.
     Store(StoreError),
-    /// Somebody else has changed its record: this planner is outdated.
+    /// Another process has changed the order record: this planner is outdated.
     Outdated,
-    /// The ledger does not allow it.
+    /// The ledger rejected it.
     Ledger(cometmoor_core::ledger::LedgerError),
-    /// The order record does not allow it.
+    /// The order record rejected it.
     Record(cometmoor_core::unfenced::RecordError),
 }
 
@@ -65,13 +66,17 @@
             OrderError::Engine(error) => write!(formatter, "{error}"),
             OrderError::Store(error) => write!(formatter, "{error}"),
             OrderError::Outdated => formatter.write_str("another planner has taken over"),
-            OrderError::Ledger(error) => write!(formatter, "the ledger refuses: {error:?}"),
-            OrderError::Record(error) => write!(formatter, "the record refuses: {error:?}"),
+            OrderError::Ledger(error) => {
+                write!(formatter, "the ledger rejected the order: {error:?}")
+            }
+            OrderError::Record(error) => {
+                write!(formatter, "the order record rejected the order: {error:?}")
+            }
         }
     }
 }
 
-/// An engine as the planner deals with it.
+/// An engine with the planner's state for it.
 enum PlannedEngine {
     Fenced(FencedEngine),
     Unfenced(UnfencedEngine),
@@ -93,13 +98,13 @@
     }
 }
 
-/// What the planner keeps while it has the role.
-struct Tenure {
-    role: Role,
+/// State of the planner that lasts as long as it holds the role.
+struct PlannerTerm {
+    role: PlannerRole,
     engines: BTreeMap<String, PlannedEngine>,
     limiter: LoadLimiter,
     last_plan: Plan,
-    /// When the store's generation was last compared, and what it was.
+    /// When the store's generation was last read, and its value; none before the first read.
     head: Option<(BootInstant, u64)>,
 }
 
@@ -112,7 +117,7 @@
 }
 
 impl<Store: ConfigurationStore> Planner<Store> {
-    /// A planner without the role.
+    /// Creates a planner that does not hold the role.
     pub fn new(context: Arc<NodeContext>, store: Rc<Store>) -> Self {
         let connect_timeout = millis(context.settings.timing.connect_timeout_millis);
         Planner {
@@ -123,16 +128,18 @@
         }
     }
 
-    /// Seeks the role and plans while it has it, until the process ends.
+    /// Repeatedly tries to acquire the role, and plans while it is held. Does not return.
     pub async fn run(self) {
         let lease = millis(self.context.settings.timing.lease_millis);
         loop {
             if self.may_plan() {
                 let node = &self.context.settings.node;
-                match Role::seek(&*self.store, &self.layout, node, lease).await {
-                    Ok(Some(role)) => self.serve(role).await,
+                match PlannerRole::acquire(&*self.store, &self.layout, node, lease).await {
+                    Ok(Some(role)) => self.run_term(role).await,
                     Ok(None) => {}
-                    Err(error) => warn!("{} seeking the role failed: {error}", Part::Planner),
+                    Err(error) => {
+                        warn!("{} acquiring the planner role failed: {error}", Part::Planner)
+                    }
                 }
             }
             let jitter = rand::random_range(0.5..1.0);
@@ -144,14 +151,14 @@
         !self.context.is_draining() && self.context.published.load().generation > 0
     }
 
-    async fn serve(&self, role: Role) {
-        info!("{} this node plans with epoch {}", Part::Planner, role.epoch());
+    async fn run_term(&self, role: PlannerRole) {
+        info!("{} this node is the planner, with epoch {}", Part::Planner, role.epoch());
         let settings = &self.context.settings.weight_store;
         let limits = WeightStoreLimits {
             loads_per_second: settings.loads_per_second,
             concurrent_loads: settings.concurrent_loads,
         };
-        let mut tenure = Tenure {
+        let mut term = PlannerTerm {
             role,
             engines: BTreeMap::new(),
             limiter: LoadLimiter::new(limits, self.context.clock.now()),
@@ -159,40 +166,40 @@
             head: None,
         };
         let interval = millis(self.context.settings.timing.planner_interval_millis);
-        while self.may_plan() && tenure.role.hold(&*self.store).await {
-            if self.is_up_to_date(&mut tenure).await {
-                self.round(&mut tenure).await;
+        while self.may_plan() && term.role.renew_if_due(&*self.store).await {
+            if self.is_up_to_date(&mut term).await {
+                self.run_round(&mut term).await;
             }
             tokio::time::sleep(interval).await;
         }
-        tenure.role.give_up(&*self.store).await;
-        info!("{} this node plans no longer", Part::Planner);
+        term.role.release(&*self.store).await;
+        info!("{} this node is no longer the planner", Part::Planner);
     }
 
-    /// Whether this node has the configuration in force that the store held
-    /// lately. By an older one it would unload what was declared since.
-    async fn is_up_to_date(&self, tenure: &mut Tenure) -> bool {
+    /// Whether this node's configuration is at least as new as the store's was at the
+    /// last read. With an older one it would unload what has been declared since.
+    async fn is_up_to_date(&self, term: &mut PlannerTerm) -> bool {
         let period = millis(self.context.settings.timing.lease_millis) / HEAD_READS_PER_LEASE;
-        if tenure.head.is_none_or(|(read_at, _)| clock::elapsed(read_at) >= period)
+        if term.head.is_none_or(|(read_at, _)| clock::elapsed(read_at) >= period)
             && let Ok((head, _)) = read_head(&*self.store, &self.layout).await
         {
-            tenure.head = Some((clock::now(), head.generation));
+            term.head = Some((clock::now(), head.generation));
         }
         let generation = self.context.published.load().generation;
-        tenure.head.is_some_and(|(_, needed)| generation >= needed)
+        term.head.is_some_and(|(_, needed)| generation >= needed)
     }
 
-    /// One round: reports, plan, orders.
-    async fn round(&self, tenure: &mut Tenure) {
+    /// Runs one planning round: requests reports, computes the plan and sends the orders.
+    async fn run_round(&self, term: &mut PlannerTerm) {
         let catalog = self.context.published.load().catalog.clone();
-        self.follow_engines(tenure, &catalog);
-        self.refresh(tenure).await;
+        self.sync_engines(term, &catalog);
+        self.refresh(term).await;
         let required = requirements(&catalog);
-        let next_plan = plan(&required, &capacities(tenure, &catalog));
-        if next_plan.shortages != tenure.last_plan.shortages {
+        let next_plan = plan(&required, &capacities(term, &catalog));
+        if next_plan.shortages != term.last_plan.shortages {
             for shortage in &next_plan.shortages {
                 warn!(
-                    "{} {} has no place: it needs {} bytes, {} are left",
+                    "{} no room for a replica of {}: it needs {} bytes, at most {} are free",
                     Part::Planner,
                     shortage.base,
                     shortage.needed_bytes,
@@ -200,34 +207,34 @@
                 );
             }
         }
-        let states: BTreeMap<String, EngineState> = tenure
+        let states: BTreeMap<String, EngineState> = term
             .engines
             .iter()
             .filter_map(|(name, engine)| Some((name.clone(), engine.state()?)))
             .collect();
         let orders = next_orders(&next_plan, &required, &states);
-        tenure.last_plan = next_plan;
-        self.send_orders(tenure, orders).await;
+        term.last_plan = next_plan;
+        self.send_orders(term, orders).await;
     }
 
-    /// Adds and removes engines as they are declared.
-    fn follow_engines(&self, tenure: &mut Tenure, catalog: &Catalog) {
-        let epoch = tenure.role.epoch();
-        tenure.engines.retain(|name, _| catalog.engine(name).is_some());
+    /// Adds, updates and removes engines to match the catalog.
+    fn sync_engines(&self, term: &mut PlannerTerm, catalog: &Catalog) {
+        let epoch = term.role.epoch();
+        term.engines.retain(|name, _| catalog.engine(name).is_some());
         for object in catalog.engines() {
             let name = &object.metadata.name;
             let spec = &object.spec;
-            let known = tenure.engines.get(name);
+            let known = term.engines.get(name);
             let same_kind = known.is_some_and(|engine| {
                 matches!(engine, PlannedEngine::Fenced(_)) == spec.checks_fences
             });
             if !same_kind {
                 let engine = self.new_engine(name, spec, epoch);
-                tenure.engines.insert(name.clone(), engine);
+                term.engines.insert(name.clone(), engine);
             }
-            match tenure.engines.get_mut(name) {
-                Some(PlannedEngine::Fenced(engine)) => engine.follow(spec),
-                Some(PlannedEngine::Unfenced(engine)) => engine.follow(spec),
+            match term.engines.get_mut(name) {
+                Some(PlannedEngine::Fenced(engine)) => engine.update_spec(spec),
+                Some(PlannedEngine::Unfenced(engine)) => engine.update_spec(spec),
                 None => {}
             }
         }
@@ -245,11 +252,12 @@
         PlannedEngine::Unfenced(UnfencedEngine::new(key, spec, planner))
     }
 
-    /// Reads all reports and settles what is in doubt, all engines at once.
-    async fn refresh(&self, tenure: &mut Tenure) {
+    /// Requests the reports of all engines concurrently, which also settles orders whose
+    /// outcome is unknown.
+    async fn refresh(&self, term: &mut PlannerTerm) {
         let members = self.context.published.load().members.clone();
         let members = &members;
-        let refreshes = tenure.engines.iter_mut().map(|(name, engine)| async move {
+        let refreshes = term.engines.iter_mut().map(|(name, engine)| async move {
             let ended = |planner: &PlannerId| has_ended(members, planner);
             let result = match engine {
                 PlannedEngine::Fenced(engine) => engine.refresh(&self.client).await,
@@ -261,7 +269,7 @@
         });
         for (name, result) in join_all(refreshes).await {
             if let Err(error) = result {
-                spdlog::debug!("{} {name} has no report: {error}", Part::Planner);
+                spdlog::debug!("{} refreshing the state of {name} failed: {error}", Part::Planner);
             }
         }
     }
@@ -274,19 +282,19 @@
         self.context.metrics.orders.get_or_create(&labels).inc();
     }
 
-    async fn send_orders(&self, tenure: &mut Tenure, orders: Vec<EngineOrder>) {
-        let mut loading = loads_running(tenure);
+    async fn send_orders(&self, term: &mut PlannerTerm, orders: Vec<EngineOrder>) {
+        let mut loading = count_running_loads(term);
         for order in orders {
-            if !tenure.role.is_held() {
+            if !term.role.is_held() {
                 return;
             }
             let is_load = matches!(order.action, OrderAction::Load { .. });
             let now = self.context.clock.now();
-            if is_load && !tenure.limiter.try_start(loading, now) {
+            if is_load && !term.limiter.try_start(loading, now) {
                 continue;
             }
             loading += u32::from(is_load);
-            let Some(engine) = tenure.engines.get_mut(&order.engine) else {
+            let Some(engine) = term.engines.get_mut(&order.engine) else {
                 continue;
             };
             let result = match engine {
@@ -300,15 +308,15 @@
             log_order(&order, &result);
             self.count_order(is_load, result.is_ok());
             if matches!(result, Err(OrderError::Outdated)) {
-                tenure.role.lose();
+                term.role.mark_lost();
                 return;
             }
         }
     }
 }
 
-/// Whether a planner's process is over: another one has its node's name. That
-/// a node is thought dead proves nothing, it may only be paused.
+/// Whether a planner's process has ended, which is certain only once a newer process
+/// has its node's name. A node that is considered dead may just be paused.
 fn has_ended(members: &[Member], planner: &PlannerId) -> bool {
     let successor = members.iter().find(|member| member.name == planner.node);
     successor.is_some_and(|member| member.incarnation > planner.incarnation)
@@ -322,16 +330,17 @@
     let artifact = order.action.artifact();
     let engine = &order.engine;
     match result {
-        Ok(()) => info!("{} {engine} confirmed to {action} {artifact}", Part::Planner),
+        Ok(()) => info!("{} {engine} confirmed the {action} of {artifact}", Part::Planner),
         Err(error) => {
-            warn!("{} {engine} did not confirm to {action} {artifact}: {error}", Part::Planner);
+            warn!("{} {engine} did not confirm the {action} of {artifact}: {error}", Part::Planner);
         }
     }
 }
 
-/// Loads that run, or may run because their orders are in doubt.
-fn loads_running(tenure: &Tenure) -> u32 {
-    let running = tenure.engines.values().map(|engine| {
+/// Upper bound of the number of running loads: those that engines report, and every
+/// artifact with an order whose outcome is unknown.
+fn count_running_loads(term: &PlannerTerm) -> u32 {
+    let running = term.engines.values().map(|engine| {
         let reported = engine.inventory().map_or(0, |inventory| {
             let loading = |resident: &&cometmoor_protocol::engine::Resident| {
                 resident.state == ResidentState::Loading
@@ -344,24 +353,24 @@
     u32::try_from(running.sum::<usize>()).unwrap_or(u32::MAX)
 }
 
-/// Engines that models may be placed on: those that report and stay.
-fn capacities(tenure: &Tenure, catalog: &Catalog) -> Vec<EngineCapacity> {
+/// Engines on which models may be placed: those that report and are not leaving.
+fn capacities(term: &PlannerTerm, catalog: &Catalog) -> Vec<EngineCapacity> {
     let mut capacities = Vec::new();
     for object in catalog.engines() {
         let name = &object.metadata.name;
-        let inventory = tenure.engines.get(name).and_then(PlannedEngine::inventory);
+        let inventory = term.engines.get(name).and_then(PlannedEngine::inventory);
         let Some(inventory) = inventory.filter(|inventory| !inventory.leaving) else {
             continue;
         };
         let mut capacity = EngineCapacity::empty(name, &object.spec);
-        capacity.held = held(inventory);
+        capacity.held = held_artifacts(inventory);
         capacities.push(capacity);
     }
     capacities
 }
 
-/// What an engine holds and is not giving up already.
-fn held(inventory: &Inventory) -> BTreeMap<Artifact, u64> {
+/// Artifacts that an engine holds and is not unloading, with their sizes in bytes.
+fn held_artifacts(inventory: &Inventory) -> BTreeMap<Artifact, u64> {
     inventory
         .resident
         .iter()
@@ -370,7 +379,8 @@
         .collect()
 }
 
-/// Usable memory of an engine, in bytes.
+/// Memory of an engine that is available for models, in bytes. It leaves out
+/// what must stay free for the engine itself.
 fn usable_bytes(spec: &EngineSpec) -> u64 {
     spec.memory_bytes.saturating_sub(spec.cache_floor_bytes)
 }
--- a/crates/cometmoor/src/control/planner/role.rs
+++ b/crates/cometmoor/src/control/planner/role.rs
@@ -1,4 +1,4 @@
-//! The planner's role: a key in the store, bound to a lease.
+//! The planner's role: a key in the configuration store that is bound to a lease.
 
 use std::time::Duration;
 
@@ -7,32 +7,37 @@
 use cometmoor_core::time::BootInstant;
 use cometmoor_gateway::clock;
 
-/// Renewals within the lifetime of a lease.
-const RENEWALS_PER_LIFETIME: u32 = 4;
-/// Part of the lifetime after which the holder stops by itself, before the
-/// store lets the lease lapse.
-const STOP_AFTER: f64 = 0.75;
+/// Number of renewals within the lifetime of a lease.
+const RENEWALS_PER_LEASE: u32 = 4;
+/// Fraction of the lease's lifetime, counted from the latest renewal, after which the
+/// holder stops on its own, before the lease expires in the store.
+const USABLE_LEASE_FRACTION: f64 = 0.75;
 
-/// The role, held by this node as far as it knows.
+/// The planner's role as this node last acquired it.
 #[derive(Debug)]
-pub struct Role {
+pub struct PlannerRole {
     lease: LeaseId,
     epoch: u64,
     lifetime: Duration,
+    /// When the latest successful grant or renewal was requested.
     renewed_at: BootInstant,
     lost: bool,
 }
 
-impl Role {
-    /// Tries to get the role; none when another node has it.
-    pub async fn seek(
+impl PlannerRole {
+    /// Tries to acquire the role; none if another node holds it.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the store does not answer or rejects a call.
+    pub async fn acquire(
         store: &impl ConfigurationStore,
         layout: &Layout,
         node: &str,
         lifetime: Duration,
-    ) -> Result<Option<Role>, StoreError> {
+    ) -> Result<Option<PlannerRole>, StoreError> {
         let key = layout.planner_role();
-        // Most seekers find the role taken: they read before they write.
+        // The role is usually held by another node, so it is read before anything is written.
         if !store.range(&key).await?.items.is_empty() {
             return Ok(None);
         }
@@ -42,50 +47,51 @@
         let put = Write::Put { key, value: node.as_bytes().to_vec(), lease: Some(lease) };
         match store.transact(&[compare], &[put]).await {
             Ok(Transaction::Committed { revision }) => {
-                Ok(Some(Role { lease, epoch: revision, lifetime, renewed_at, lost: false }))
+                Ok(Some(PlannerRole { lease, epoch: revision, lifetime, renewed_at, lost: false }))
             }
             Ok(Transaction::Conflict) => {
                 store.revoke(lease).await?;
                 Ok(None)
             }
-            // The role may be bound to this lease now: without renewal it lapses.
+            // The role may be bound to this lease now. It is not renewed, so both expire.
             Err(error) => Err(error),
         }
     }
 
-    /// Revision of the store at which the role was taken.
+    /// Revision of the store at which the role was acquired.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Whether the lease cannot have lapsed by this node's clock.
+    /// Whether the role is not known to be lost and, by this node's clock, its lease cannot
+    /// have expired.
     pub fn is_held(&self) -> bool {
-        !self.lost && clock::elapsed(self.renewed_at) < self.lifetime.mul_f64(STOP_AFTER)
+        !self.lost && clock::elapsed(self.renewed_at) < self.lifetime.mul_f64(USABLE_LEASE_FRACTION)
     }
 
-    /// Notes that another node has the role.
-    pub fn lose(&mut self) {
+    /// Records that another node has taken the role over.
+    pub fn mark_lost(&mut self) {
         self.lost = true;
     }
 
-    /// Renews the lease where it is time, and tells whether it is held.
-    pub async fn hold(&mut self, store: &impl ConfigurationStore) -> bool {
-        if clock::elapsed(self.renewed_at) < self.lifetime / RENEWALS_PER_LIFETIME {
+    /// Renews the lease if a renewal is due, and returns whether the role is still held.
+    pub async fn renew_if_due(&mut self, store: &impl ConfigurationStore) -> bool {
+        if clock::elapsed(self.renewed_at) < self.lifetime / RENEWALS_PER_LEASE {
             return self.is_held();
         }
-        let asked_at = clock::now();
+        let sent_at = clock::now();
         match store.keep_alive(self.lease).await {
-            Ok(true) => self.renewed_at = asked_at,
+            Ok(true) => self.renewed_at = sent_at,
             Ok(false) => self.lost = true,
-            // Without an answer the lease goes on until it lapses.
+            // Without an answer, the lease remains valid until it expires.
             Err(_) => {}
         }
         self.is_held()
     }
 
-    /// Gives the role back, so that another node need not wait for the lease.
-    pub async fn give_up(self, store: &impl ConfigurationStore) {
-        // On a failure the lease lapses by itself.
+    /// Releases the role, so that another node need not wait for the lease to expire.
+    pub async fn release(self, store: &impl ConfigurationStore) {
+        // If the call fails, the lease expires without it.
         let _ = store.revoke(self.lease).await;
     }
 }
--- a/crates/cometmoor/src/control/planner/unfenced.rs
+++ b/crates/cometmoor/src/control/planner/unfenced.rs
@@ -1,6 +1,6 @@
-//! Orders to an engine that does not check who gives them.
+//! Orders to an engine that does not check fences.
 //!
-//! See [`cometmoor_core::unfenced`] for why a late order does no harm.
+//! See [`cometmoor_core::unfenced`] for why an order that arrives late is harmless.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,13 +17,14 @@
 use crate::engine::http::EngineClient;
 use crate::store::{Compare, ConfigurationStore, StoreError, Transaction, Write};
 
-/// Time after which an answered order is not delivered a second time, counted
+/// Time after which no duplicate of an answered order is delivered any more, counted
 /// from when this planner first saw the answer in the record.
 const DUPLICATE_WINDOW: Duration = Duration::from_secs(10);
 
-/// The record of an engine's orders as it stands in the store.
+/// The record of an engine's orders with its revision in the store.
 struct StoredRecord {
     record: OrderRecord,
+    /// Revision of the latest change; 0 if the store has no record.
     revision: u64,
 }
 
@@ -33,17 +34,18 @@
     address: String,
     capacity_bytes: u64,
     planner: PlannerId,
+    /// None until the record is read, and again after a failed write.
     stored: Option<StoredRecord>,
     inventory: Option<Inventory>,
-    /// Whether copies of the open order may be on their way of which the
-    /// record does not tell, because it could not be written.
+    /// Whether copies of the open order may be in transit that are missing from the
+    /// record because it could not be written.
     unrecorded_copies: bool,
     /// When each answered load of the record was first seen.
-    answered_since: BTreeMap<Artifact, BootInstant>,
+    answered_first_seen: BTreeMap<Artifact, BootInstant>,
 }
 
 impl UnfencedEngine {
-    /// An engine whose record has not been read.
+    /// Creates the state of an engine whose record has not been read yet.
     pub fn new(key: String, spec: &EngineSpec, planner: PlannerId) -> UnfencedEngine {
         UnfencedEngine {
             key,
@@ -52,14 +54,14 @@
             planner,
             stored: None,
             inventory: None,
-            // An earlier tenure of this process may have sent some.
+            // This process may have sent copies in an earlier term as planner.
             unrecorded_copies: true,
-            answered_since: BTreeMap::new(),
+            answered_first_seen: BTreeMap::new(),
         }
     }
 
-    /// Takes a changed declaration over.
-    pub fn follow(&mut self, spec: &EngineSpec) {
+    /// Applies a changed spec. After a change of the address, a new report is needed.
+    pub fn update_spec(&mut self, spec: &EngineSpec) {
         self.capacity_bytes = usable_bytes(spec);
         if self.address != spec.address {
             self.address.clone_from(&spec.address);
@@ -67,13 +69,15 @@
         }
     }
 
-    /// The newest report; none while the engine does not answer.
+    /// The latest report; none if the latest request to the engine failed, other than by a
+    /// refusal.
     pub fn inventory(&self) -> Option<&Inventory> {
         self.inventory.as_ref()
     }
 
-    /// What the next orders depend on. While an order is open there is no
-    /// room for another.
+    /// State from which the next orders are computed; none without a report or a record.
+    /// The artifact of the open order is unsettled: no further order may be opened until
+    /// that one is answered.
     pub fn state(&self) -> Option<EngineState> {
         let inventory = self.inventory.clone()?;
         let record = &self.stored.as_ref()?.record;
@@ -83,8 +87,8 @@
         Some(EngineState { free_bytes, unsettled: open.collect::<BTreeSet<_>>(), inventory })
     }
 
-    /// Reads the record where it is not known, the report always, and repeats
-    /// an open order. `ended` tells of planners whose processes are over.
+    /// Reads the record if it is not known, requests a report, and resends an open order.
+    /// `ended` returns whether a planner's process has ended.
     pub async fn refresh(
         &mut self,
         client: &EngineClient,
@@ -93,9 +97,9 @@
     ) -> Result<(), OrderError> {
         self.read_record(store).await?;
         let result = client.inventory(&self.address, ORDER_TIMEOUT).await;
-        let incarnation = self.take_report(result)?;
-        self.bring_up_to_date(store, incarnation, ended).await?;
-        self.repeat_open_order(client, store).await
+        let incarnation = self.apply_report(result)?;
+        self.update_record(store, incarnation, ended).await?;
+        self.resend_open_order(client, store).await
     }
 
     /// Writes an order to the record and sends it.
@@ -121,8 +125,8 @@
         if self.stored.is_some() {
             return Ok(());
         }
-        let answer = store.range(&self.key).await.map_err(OrderError::Store)?;
-        let item = answer.items.into_iter().find(|item| item.key == self.key);
+        let range = store.range(&self.key).await.map_err(OrderError::Store)?;
+        let item = range.items.into_iter().find(|item| item.key == self.key);
         let stored = match item {
             None => StoredRecord { record: OrderRecord::default(), revision: 0 },
             Some(item) => StoredRecord {
@@ -137,8 +141,8 @@
         Ok(())
     }
 
-    /// Writes the record on condition that nobody else has changed it. After
-    /// any failure it is read again before the next order.
+    /// Writes the record by compare-and-swap. After any failure it is read again before
+    /// the next order.
     async fn write_record(
         &mut self,
         store: &impl ConfigurationStore,
@@ -160,8 +164,8 @@
         }
     }
 
-    /// Brings the record up to what is known now, before anything is sent.
-    async fn bring_up_to_date(
+    /// Updates the record with everything that is known now, before anything is sent.
+    async fn update_record(
         &mut self,
         store: &impl ConfigurationStore,
         incarnation: u64,
@@ -172,15 +176,15 @@
         };
         let answered: BTreeSet<Artifact> =
             stored.record.answered_loads.iter().map(|load| load.artifact.clone()).collect();
-        self.answered_since.retain(|artifact, _| answered.contains(artifact));
+        self.answered_first_seen.retain(|artifact, _| answered.contains(artifact));
         for artifact in answered {
-            self.answered_since.entry(artifact).or_insert_with(clock::now);
+            self.answered_first_seen.entry(artifact).or_insert_with(clock::now);
         }
-        let is_over = |artifact: &Artifact| {
-            let since = self.answered_since.get(artifact);
-            since.is_some_and(|since| clock::elapsed(*since) >= DUPLICATE_WINDOW)
+        let no_duplicates = |artifact: &Artifact| {
+            let first_seen = self.answered_first_seen.get(artifact);
+            first_seen.is_some_and(|first_seen| clock::elapsed(*first_seen) >= DUPLICATE_WINDOW)
         };
-        let mut next = stored.record.drop_answered_loads(is_over);
+        let mut next = stored.record.drop_answered_loads(no_duplicates);
         if self.unrecorded_copies {
             next = next.mark_unanswered();
         }
@@ -195,7 +199,7 @@
         Ok(())
     }
 
-    async fn repeat_open_order(
+    async fn resend_open_order(
         &mut self,
         client: &EngineClient,
         store: &impl ConfigurationStore,
@@ -234,10 +238,10 @@
                 self.unrecorded_copies = false;
             }
         }
-        self.take_report(result).map(|_| ())
+        self.apply_report(result).map(|_| ())
     }
 
-    fn take_report(&mut self, result: Result<Inventory, EngineError>) -> Result<u64, OrderError> {
+    fn apply_report(&mut self, result: Result<Inventory, EngineError>) -> Result<u64, OrderError> {
         match result {
             Ok(inventory) => {
                 let incarnation = inventory.incarnation;
--- a/crates/cometmoor/src/control/snapshot.rs
+++ b/crates/cometmoor/src/control/snapshot.rs
@@ -9,27 +9,27 @@
 use cometmoor_core::membership::Member;
 use cometmoor_core::routing::RouteTable;
 
-/// A group as a request's credentials tell it.
+/// The group that a request's key belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupAccess {
     /// Name of the group.
     pub group: String,
-    /// Entitlement of the group.
+    /// Share of the capacity that the group is entitled to, relative to other groups.
     pub entitlement: u32,
-    /// Priority of the group.
+    /// Priority of the group's requests.
     pub priority: u32,
 }
 
-/// The state of the node at one moment.
+/// State of the node at one point in time.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
     /// Generation of the configuration in force; 0 before the first one.
     pub generation: u64,
     /// The declared resources.
     pub catalog: Arc<Catalog>,
-    /// Accepted keys of the groups.
+    /// Keys of the groups, by digest.
     pub access: Arc<KeyRing<GroupAccess>>,
-    /// Which engines can answer with what.
+    /// The engines and the artifacts that they are ready to serve.
     pub routes: Arc<RouteTable>,
     /// All known nodes, this one first.
     pub members: Arc<Vec<Member>>,
@@ -38,14 +38,15 @@
 }
 
 impl Snapshot {
-    /// Decides on a bearer key. A node that may not serve its configuration cannot tell.
+    /// Checks a bearer key. A node that may not serve its configuration neither admits nor
+    /// rejects a key, because its copy of the keys may be out of date.
     pub fn authenticate(&self, key: PresentedKey) -> KeyCheck<'_, GroupAccess> {
         let may_serve = self.freshness.may_serve();
         self.access.check(key, KeyFreshness { admits: may_serve, denies: may_serve })
     }
 }
 
-/// The accepted keys of a catalog's groups.
+/// Collects the keys of a catalog's groups. Hashes that cannot be parsed are skipped.
 pub fn group_access(catalog: &Catalog) -> KeyRing<GroupAccess> {
     let keys = catalog.groups().flat_map(|group| {
         let access = GroupAccess {
@@ -59,13 +60,14 @@
     keys.collect()
 }
 
-/// The newest snapshot; written by the control thread only.
+/// Holds the latest snapshot. Only the control thread writes it.
 pub struct Published {
     snapshot: ArcSwap<Snapshot>,
 }
 
 impl Published {
-    /// Starts with a node that knows only itself.
+    /// Creates the initial snapshot: no configuration, this node as the only member, and
+    /// [`Freshness::Isolated`], so that nothing is served yet.
     pub fn new(own: Member) -> Published {
         Published {
             snapshot: ArcSwap::from_pointee(Snapshot {
@@ -79,12 +81,12 @@
         }
     }
 
-    /// The newest snapshot.
+    /// Returns the latest snapshot.
     pub fn load(&self) -> Arc<Snapshot> {
         self.snapshot.load_full()
     }
 
-    /// Publishes a changed copy.
+    /// Applies `change` to a copy of the latest snapshot and publishes the copy.
     pub fn update(&self, change: impl FnOnce(&mut Snapshot)) {
         let mut next = Snapshot::clone(&self.snapshot.load());
         change(&mut next);
