--- a/crates/cometmoor-gateway/src/control_traffic.rs
+++ b/crates/cometmoor-gateway/src/control_traffic.rs
@@ -1,4 +1,4 @@
-//! What nodes send one another, and ask the store, by kind: messages and bytes.
+//! Counters of messages to other nodes and of calls to the store, and of their bytes, by kind.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -6,35 +6,34 @@
 use prometheus_client::registry::Registry;
 use spdlog::info;
 
-/// Kinds of control traffic that are counted apart.
+/// Kinds of control traffic that have counters of their own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TrafficKind {
-    /// A node tells of itself.
+    /// State that a node reports of itself.
     Heartbeat,
-    /// A hub tells other hubs of its zone.
+    /// State of a zone, from one of its hubs to other hubs.
     ZoneDigest,
-    /// A hub tells a node of the fleet.
+    /// State of the fleet, from a hub to a node.
     FleetDigest,
-    /// A question for a proof that the configuration is the newest, or its answer.
+    /// A request for a proof that the configuration is the newest, or the response.
     Proof,
-    /// Allowances of tenants that nodes lend one another.
+    /// Messages about allowances that nodes lend one another.
     Quota,
-    /// A copy of the configuration, for a peer.
+    /// A copy of the configuration that is sent to a peer.
     ConfigurationCopy,
-    /// A copy of the servers' entries, for a peer.
+    /// A copy of the servers' registry entries that is sent to a peer.
     ServersCopy,
-    /// A read of items in the store.
+    /// A read from the store.
     StoreRead,
-    /// A watch of items in the store.
+    /// A watch of the store.
     StoreWatch,
     /// A write to the store.
     StoreCommit,
-    /// A lease in the store: granted, renewed or ended.
+    /// A grant, renewal or revocation of a lease in the store.
     StoreLease,
 }
 
 impl TrafficKind {
-    /// All of them.
     const ALL: [TrafficKind; 11] = [
         TrafficKind::Heartbeat,
         TrafficKind::ZoneDigest,
@@ -49,7 +48,7 @@
         TrafficKind::StoreLease,
     ];
 
-    /// Name in metrics and log lines.
+    /// The name in metrics and log lines.
     pub fn name(self) -> &'static str {
         match self {
             TrafficKind::Heartbeat => "heartbeat",
@@ -67,13 +66,13 @@
     }
 }
 
-/// Label of a kind.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct KindLabels {
     kind: &'static str,
 }
 
-/// Counters of what this node has sent since its process began.
+/// Counters of this node's control traffic since the start of its process. Clones share the same
+/// counters.
 #[derive(Clone, Debug, Default)]
 pub struct ControlTraffic {
     messages: Family<KindLabels, Counter>,
@@ -81,8 +80,8 @@
 }
 
 impl ControlTraffic {
-    /// Counts messages that were sent, each of so many bytes. Of a call to the store
-    /// the answer's bytes count.
+    /// Counts sent messages of `bytes_each` bytes. For a call to the store, the bytes of the
+    /// response body are counted.
     pub fn count(&self, kind: TrafficKind, messages: usize, bytes_each: usize) {
         let labels = KindLabels { kind: kind.name() };
         let messages = u64::try_from(messages).unwrap_or(u64::MAX);
@@ -91,20 +90,20 @@
         self.bytes.get_or_create(&labels).inc_by(messages.saturating_mul(bytes_each));
     }
 
-    /// Messages of a kind so far, and their bytes.
+    /// Number of messages of a kind so far, and the sum of their bytes.
     pub fn sent(&self, kind: TrafficKind) -> (u64, u64) {
         let labels = KindLabels { kind: kind.name() };
         (self.messages.get_or_create(&labels).get(), self.bytes.get_or_create(&labels).get())
     }
 
-    /// Offers the counters to a registry.
+    /// Registers the counters as metrics.
     pub fn register(&self, registry: &mut Registry) {
         let (messages, bytes) = (self.messages.clone(), self.bytes.clone());
         registry.register("control_messages", "Messages sent to peers and the store", messages);
         registry.register("control_bytes", "Bytes of messages between nodes, by sender", bytes);
     }
 
-    /// Logs the counters, a line for all kinds.
+    /// Logs the counters of all kinds in one line.
     pub fn log(&self) {
         let kinds = TrafficKind::ALL.map(|kind| {
             let (messages, bytes) = self.sent(kind);
--- a/crates/cometmoor-gateway/src/lib.rs
+++ b/crates/cometmoor-gateway/src/lib.rs
@@ -1,10 +1,9 @@
 //! The gateway node of cometmoor.
 //!
-//! Clients' requests come in at the [`frontend`], are sent on by [`forward`]
-//! over connections of the [`pool`], and go to servers that the registry in
-//! the platform's store tells of. One thread holds the [`control`] state and
-//! publishes it; another one carries the traffic. What the platform's messages
-//! look like is told by a [`dialect::Dialect`].
+//! The [`frontend`] accepts requests of clients. [`forward`] sends them over connections of the
+//! [`pool`] to servers that are listed in the registry, which is kept in the platform's store.
+//! One thread holds the [`control`] state and publishes it; another thread handles the traffic.
+//! A [`dialect::Dialect`] defines the format of the platform's messages.
 
 pub mod clock;
 pub mod control;
--- a/crates/cometmoor-gateway/src/metrics.rs
+++ b/crates/cometmoor-gateway/src/metrics.rs
@@ -15,21 +15,21 @@
 
 use crate::control_traffic::ControlTraffic;
 
-/// Buckets from 1 ms to about 16 s.
+/// Start in seconds, factor and number of the histograms' buckets: from 1 ms to about 16 s.
 const BUCKETS: (f64, f64, u16) = (0.001, 2.0, 15);
 
-/// Labels of an answered request. All values come from the code.
+/// Labels of a request that has ended. All values are constants, so that their number is bounded.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabels {
-    /// `answered`, `refused`, `unknown`, `cut`, `client_left` or `rejected`.
+    /// Outcome: `answered`, `refused`, `unknown`, `cut`, `client_left` or `rejected`.
     pub outcome: &'static str,
-    /// Step at which that was decided.
+    /// Processing step that determined the outcome.
     pub step: &'static str,
-    /// Why.
+    /// Reason of the outcome.
     pub cause: &'static str,
 }
 
-/// Labels of a change of what a server reports of itself.
+/// Labels of a change of a server's signals about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct SignalLabels {
     /// `limit`, `leaving` or `rest`.
@@ -38,24 +38,24 @@
     event: &'static str,
 }
 
-/// Labels of a state.
+/// Label of a metric that is divided by state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct StateLabels {
-    /// The state.
+    /// State, of the values that the metric documents.
     pub state: &'static str,
 }
 
-/// Labels of a copy of the store.
+/// Label of a copy of the store's items.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CopyLabels {
-    /// `configuration` or `servers`.
+    /// Which copy: `configuration` or `servers`.
     pub copy: &'static str,
 }
 
-/// Most tenants that are told apart; the others count together, so that configurations
-/// which come and go do not grow the metrics.
-const MOST_TENANTS: usize = 200;
-/// Label of the tenants beyond that.
+/// Maximum number of tenants with a label of their own. All others share one label, so that the
+/// metrics do not grow without bound as configurations change.
+const MAX_TENANTS: usize = 200;
+/// Label of the tenants beyond [`MAX_TENANTS`].
 const OTHER_TENANTS: &str = "other";
 
 /// Labels of a tenant's requests.
@@ -65,88 +65,90 @@
     outcome: &'static str,
 }
 
-/// Requests of tenants by how they ended.
+/// Requests by tenant and outcome.
 #[derive(Debug, Default)]
 struct TenantRequests {
     requests: Family<TenantLabels, Counter>,
-    told_apart: Mutex<BTreeSet<String>>,
+    /// Tenants that have a label of their own.
+    labeled: Mutex<BTreeSet<String>>,
 }
 
 impl TenantRequests {
-    /// The label of a tenant.
+    /// Returns the label of a tenant.
     fn label(&self, tenant: &str) -> String {
-        let mut told_apart = self.told_apart.lock().unwrap_or_else(PoisonError::into_inner);
-        if !told_apart.contains(tenant) {
-            if told_apart.len() >= MOST_TENANTS {
+        let mut labeled = self.labeled.lock().unwrap_or_else(PoisonError::into_inner);
+        if !labeled.contains(tenant) {
+            if labeled.len() >= MAX_TENANTS {
                 return OTHER_TENANTS.to_owned();
             }
-            told_apart.insert(tenant.to_owned());
+            labeled.insert(tenant.to_owned());
         }
         tenant.to_owned()
     }
 }
 
-/// A gauge of a figure that need not be whole.
+/// A gauge with a floating-point value.
 pub type FloatGauge = Gauge<f64, AtomicU64>;
 
-/// All metrics.
+/// All metrics of a node. Ages and states of the fleet are updated when the metrics are read.
 pub struct Metrics {
     registry: Registry,
-    /// Requests by how they ended.
+    /// Requests by outcome.
     pub requests: Family<OutcomeLabels, Counter>,
     tenants: TenantRequests,
-    /// Time until it was decided whether a request lies within its tenant's limit.
+    /// Time until a request was admitted or rejected by its tenant's limit.
     pub quota_time: Histogram,
-    /// Tenants for which this node lends.
+    /// Number of tenants for whose limits this node is the lender.
     pub lending_tenants: Gauge,
-    /// Servers for whose limits this node lends.
+    /// Number of servers for whose limits this node is the lender.
     pub lending_servers: Gauge,
-    /// Age of the proof that the configuration is the newest, in seconds.
+    /// Age in seconds of the proof that the configuration is the newest; infinite without a proof.
     pub proof_age: FloatGauge,
-    /// Sends to servers beyond the first of a request.
+    /// Sends to servers after the first send of a request.
     pub retries: Counter,
-    /// Servers that crashed while requests of this node were there.
+    /// Servers that crashed while they processed requests of this node.
     pub server_crashes: Counter,
-    /// Contents that were present at crashes, by state: quarantined or suspect.
+    /// Request contents that were in progress at crashes of servers, by state: `quarantined` or
+    /// `suspect`.
     pub quarantine: Family<StateLabels, Gauge>,
     signal_changes: Family<SignalLabels, Counter>,
-    /// Sends that were held back, by what the server reports of itself.
+    /// Sends that were held back because of a server's signals, by the kind of hold.
     pub held_back: Family<StateLabels, Counter>,
-    /// Servers by what they report of themselves: limited, leaving or resting.
+    /// Servers by signal: `limited`, `leaving` or `resting`.
     pub signaling_servers: Family<StateLabels, Gauge>,
-    /// Runs that were stopped to go on at another server, by what came of it.
+    /// Runs that were stopped to be migrated to another server, by result.
     pub run_migrations: Family<StateLabels, Counter>,
-    /// Time in the queue for a server.
+    /// Time that a request waited in the queue for a server.
     pub queue_time: Histogram,
-    /// Time to get a connection to a server.
+    /// Time until a connection to a server was available, or could not be established.
     pub connect_time: Histogram,
-    /// Time from the request to its first byte of answer.
+    /// Time from the receipt of a request to the first byte of its response.
     pub time_to_first_byte: Histogram,
-    /// Time between the pieces of a stream.
+    /// Time between two events of a streamed response.
     pub event_interval: Histogram,
-    /// Time of a whole request.
+    /// Time from the receipt of a request to the end of its response; only of answered requests.
     pub request_duration: Histogram,
-    /// Requests in progress.
+    /// Number of requests of clients in progress.
     pub in_progress: Gauge,
-    /// Version of the configuration in force.
+    /// Version of the configuration in force; 0 if there is none.
     pub configuration_version: Gauge,
-    /// Age of what the store last confirmed, in seconds, by copy.
+    /// Time in seconds since the store last confirmed a copy, by copy; infinite if it never did.
     pub store_age: Family<CopyLabels, FloatGauge>,
-    /// Newest era of the store that this node has heard of.
+    /// Newest era of the store that this node knows of.
     pub store_era: Gauge,
-    /// Times that the store was seen to have come back from an older copy.
+    /// Number of times that the store was found to be restored from an older backup.
     pub store_losses: Counter,
-    /// Whether this node leads.
+    /// Whether this node is the leader: 1 or 0.
     pub is_leader: Gauge,
-    /// Nodes that take requests.
+    /// Number of nodes that accept requests.
     pub nodes: Gauge,
-    /// Servers by state.
+    /// Servers by state: `ready` or `draining`.
     pub servers: Family<StateLabels, Gauge>,
-    /// Entries of the registry that name no server to use.
+    /// Registry entries that are ignored because they describe no usable server.
     pub ignored_entries: Gauge,
-    /// Messages to other nodes and the store.
+    /// Messages to other nodes and calls to the store.
     pub control: ControlTraffic,
-    /// Log lines that were dropped.
+    /// Number of log lines that were dropped because the queue was full.
     pub dropped_lines: Gauge,
 }
 
@@ -255,31 +257,31 @@
         self.control.register(registry);
     }
 
-    /// Notes how a request ended.
+    /// Counts a request that has ended.
     pub fn record_outcome(&self, outcome: &'static str, step: &'static str, cause: &'static str) {
         self.requests.get_or_create(&OutcomeLabels { outcome, step, cause }).inc();
     }
 
-    /// Notes how a request of a tenant ended.
+    /// Counts a request of a tenant that has ended.
     pub fn record_tenant_outcome(&self, tenant: &str, outcome: &'static str) {
         let tenant = self.tenants.label(tenant);
         self.tenants.requests.get_or_create(&TenantLabels { tenant, outcome }).inc();
     }
 
-    /// Notes that a server reports something new of itself.
+    /// Counts a change of a server's signals.
     pub fn record_signal_change(&self, signal: &'static str, event: &'static str) {
         self.signal_changes.get_or_create(&SignalLabels { signal, event }).inc();
     }
 
-    /// Notes a time.
+    /// Adds a duration to a histogram, in seconds.
     pub fn observe(&self, histogram: &Histogram, time: Duration) {
         histogram.observe(time.as_secs_f64());
     }
 
-    /// All metrics as text.
+    /// Returns all metrics in the text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a `String` does not fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
--- a/crates/cometmoor-gateway/src/node.rs
+++ b/crates/cometmoor-gateway/src/node.rs
@@ -1,4 +1,4 @@
-//! One gateway node: starts its threads, waits for the stop, stops in order.
+//! A gateway node: starts its threads, waits for a stop signal and shuts down gracefully.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -23,7 +23,7 @@
 use crate::forward::TrafficContext;
 use crate::frontend;
 use crate::http::head::RequestHead;
-use crate::http_server::{SimpleResponse, serve as serve_small};
+use crate::http_server::{SimpleResponse, serve};
 use crate::load::LoadBoard;
 use crate::metrics::{CopyLabels, Metrics, StateLabels};
 use crate::peer::{StorePrefix, lease_from_renewal_path};
@@ -34,36 +34,36 @@
 use crate::signals::SignalBoard;
 use crate::store::{Store, StoreLease};
 
-/// Connections that may wait to be taken.
-const BACKLOG: u32 = 1024;
-/// Between two looks whether requests are left.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
-/// How many lives of an answer some clients keep it.
-const DIRECTORY_LIVES: u32 = 3;
-/// Time that a client may take to come after it was told an address.
-const DIRECTORY_SLACK: Duration = Duration::from_millis(500);
-/// Time kept free before the process would be killed.
+/// Maximum number of connections that wait to be accepted, per listener.
+const LISTEN_BACKLOG: u32 = 1024;
+/// Interval of the check whether requests are still in progress during a shutdown.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of lifetimes of a directory response for which some clients use it.
+const DIRECTORY_LIFETIMES: u32 = 3;
+/// Time that a client may take to connect after it got an address from the directory.
+const CLIENT_CONNECT_SLACK: Duration = Duration::from_millis(500);
+/// Time by which the node stops before the process would be killed.
 const KILL_MARGIN: Duration = Duration::from_millis(400);
-/// Part of the grace after which no new requests are taken.
-const LAST_REQUEST_PART: f64 = 0.8;
-/// Between two looks for connections that rested too long.
-const POOL_SWEEP: Duration = Duration::from_secs(1);
-/// Type of the copies that peers get.
-const BINARY: &str = "application/octet-stream";
+/// Fraction of the grace period after which no new requests are accepted.
+const ACCEPT_FRACTION: f64 = 0.8;
+/// Interval at which connections to servers that were idle for too long are closed.
+const POOL_CLEANUP_INTERVAL: Duration = Duration::from_secs(1);
+/// Content type of the copies that are sent to peers.
+const COPY_CONTENT_TYPE: &str = "application/octet-stream";
 
 /// Why a node could not start.
 #[derive(Debug)]
 pub enum StartError {
-    /// The settings cannot be used.
+    /// The settings file is unreadable or invalid.
     Settings(SettingsError),
-    /// An address cannot be listened on.
+    /// Listening on an address failed.
     Listen {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddrV4,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// Signals cannot be handled.
+    /// Installing a signal handler failed.
     Signals(io::Error),
 }
 
@@ -79,8 +79,8 @@
     }
 }
 
-/// Runs a node until a signal stops it, on the current `actix` system, whose
-/// thread becomes the control thread.
+/// Runs a node on the current `actix` system, whose thread becomes the control thread, until a
+/// signal stops it. Returns after the graceful shutdown.
 pub async fn run(
     settings_file: PathBuf,
     dialect: Arc<dyn Dialect>,
@@ -89,7 +89,7 @@
     let settings = GatewaySettings::read(&settings_file).map_err(StartError::Settings)?;
     crate::log::init(&settings.node, level);
     let node = Node::start(settings, dialect).await?;
-    wait_for_stop(&settings_file, &node.settings).await?;
+    wait_for_stop_signal(&settings_file, &node.settings).await?;
     node.drain().await;
     crate::log::flush();
     Ok(())
@@ -104,7 +104,7 @@
     quarantine: QuarantineBoard,
 }
 
-/// What a node's threads share.
+/// State that the threads of a node share.
 #[derive(Clone)]
 struct Shared {
     dialect: Arc<dyn Dialect>,
@@ -116,7 +116,7 @@
 }
 
 impl Node {
-    /// Starts a node on the current `actix` system.
+    /// Starts a node on the current `actix` system, whose thread becomes the control thread.
     pub async fn start(
         settings: GatewaySettings,
         dialect: Arc<dyn Dialect>,
@@ -143,22 +143,23 @@
         Ok(Node { settings, fleet, board, loads, quarantine: shared.quarantine })
     }
 
-    /// What the node believes of the fleet.
+    /// State of the fleet as this node knows it.
     pub fn board(&self) -> &Arc<Board> {
         &self.board
     }
 
-    /// What the node knows of requests that crash servers.
+    /// Quarantine of requests that crash servers.
     pub fn quarantine(&self) -> &QuarantineBoard {
         &self.quarantine
     }
 
-    /// Requests of clients that this node works on.
+    /// Number of requests of clients in progress on this node.
     pub fn in_progress(&self) -> usize {
         self.loads.in_progress()
     }
 
-    /// The planned stop.
+    /// Shuts the node down gracefully. Returns before the grace period ends, if necessary with
+    /// requests still in progress.
     pub async fn drain(&self) {
         drain(&self.settings, &self.fleet, &self.loads).await;
     }
@@ -169,7 +170,7 @@
     let socket = TcpSocket::new_v4().map_err(failed)?;
     socket.set_reuseaddr(true).map_err(failed)?;
     socket.bind(SocketAddr::V4(address)).map_err(failed)?;
-    let listener = socket.listen(BACKLOG).map_err(failed)?;
+    let listener = socket.listen(LISTEN_BACKLOG).map_err(failed)?;
     listener.into_std().map_err(failed)
 }
 
@@ -184,7 +185,7 @@
         let listener = match TcpListener::from_std(listener) {
             Ok(listener) => listener,
             Err(source) => {
-                error!("[frontend] cannot take connections", kv: { reason = source.to_string() });
+                error!("[frontend] cannot accept connections", kv: { reason = source.to_string() });
                 return;
             }
         };
@@ -192,22 +193,22 @@
             Ok(quota) => quota,
             Err(source) => {
                 let address = settings.quota_address.to_string();
-                error!("[quota] cannot be listened on", kv: { address, reason = source.to_string() });
+                error!("[quota] cannot listen on the address", kv: { address, reason = source.to_string() });
                 return;
             }
         };
         let settings = Rc::new(settings);
         let traffic =
             Rc::new(TrafficContext::new(settings, dialect, board, loads, quarantine, signals, quota, metrics));
-        actix_rt::spawn(sweep_pools(traffic.clone()));
+        actix_rt::spawn(close_idle_connections(traffic.clone()));
         actix_rt::spawn(frontend::serve(listener, traffic));
     });
     Ok(())
 }
 
-async fn sweep_pools(traffic: Rc<TrafficContext>) {
+async fn close_idle_connections(traffic: Rc<TrafficContext>) {
     loop {
-        clock::sleep(POOL_SWEEP).await;
+        clock::sleep(POOL_CLEANUP_INTERVAL).await;
         traffic.servers.borrow().close_idle_connections(clock::now());
     }
 }
@@ -231,32 +232,32 @@
     });
     let failed = |source| StartError::Listen { address: settings.peer_address, source };
     let fleet = start_control(context.clone()).await.map_err(failed)?;
-    spawn_small(settings.ready_address, ready_answer(board, dialect))?;
-    spawn_small(settings.directory_address, directory_response(settings, board, dialect))?;
+    spawn_http_server(settings.ready_address, readiness_handler(board, dialect))?;
+    spawn_http_server(settings.directory_address, directory_handler(settings, board, dialect))?;
     if let Some(address) = settings.metrics_address {
-        spawn_small(address, metrics_answer(shared))?;
+        spawn_http_server(address, metrics_handler(shared))?;
     }
     spawn_peer_server(settings.peer_address, &fleet, &context)?;
     Ok(fleet)
 }
 
-/// Milliseconds since 1970, so that a later process is told from an earlier
-/// one; nothing else relies on the time of day.
+/// Returns a number that distinguishes this process from earlier ones of the same node:
+/// milliseconds of Unix time. Nothing else relies on the time of day.
 fn new_incarnation() -> u64 {
     let elapsed = SystemTime::UNIX_EPOCH.elapsed().unwrap_or_default();
     u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
 
-type Answering = Rc<dyn Fn(&RequestHead) -> SimpleResponse>;
+type Handler = Rc<dyn Fn(&RequestHead) -> SimpleResponse>;
 
-fn spawn_small(address: SocketAddrV4, answer: Answering) -> Result<(), StartError> {
+fn spawn_http_server(address: SocketAddrV4, handler: Handler) -> Result<(), StartError> {
     let failed = |source| StartError::Listen { address, source };
     let listener = TcpListener::from_std(listen(address)?).map_err(failed)?;
-    actix_rt::spawn(serve_small(listener, answer));
+    actix_rt::spawn(serve(listener, handler));
     Ok(())
 }
 
-fn ready_answer(board: &Arc<Board>, dialect: &Arc<dyn Dialect>) -> Answering {
+fn readiness_handler(board: &Arc<Board>, dialect: &Arc<dyn Dialect>) -> Handler {
     let (board, dialect) = (board.clone(), dialect.clone());
     Rc::new(move |head| {
         let ready = board.fleet.load().phase == Phase::Ready;
@@ -268,8 +269,8 @@
     })
 }
 
-/// Metrics as text; the states are read when they are asked for.
-fn metrics_answer(shared: &Shared) -> Answering {
+/// Returns the metrics as text. Metrics of states and ages are updated at each request.
+fn metrics_handler(shared: &Shared) -> Handler {
     let Shared { board, loads, quarantine, signals, metrics, .. } = shared.clone();
     Rc::new(move |_| {
         let fleet = board.fleet.load();
@@ -282,20 +283,20 @@
             (StorePrefix::Configuration, fleet.configuration_confirmed),
             (StorePrefix::Servers, fleet.servers_confirmed),
         ];
-        for (subject, confirmed) in copies {
+        for (prefix, confirmed) in copies {
             let age = confirmed.map_or(f64::INFINITY, |at| clock::elapsed(at).as_secs_f64());
-            metrics.store_age.get_or_create(&CopyLabels { copy: subject.name() }).set(age);
+            metrics.store_age.get_or_create(&CopyLabels { copy: prefix.name() }).set(age);
         }
         let proof_age = fleet.proof_age().map_or(f64::INFINITY, |age| age.as_secs_f64());
         metrics.proof_age.set(proof_age);
         let draining = fleet.servers.iter().filter(|s| s.state == ServerState::Draining).count();
-        let state = |state| metrics.servers.get_or_create(&StateLabels { state });
-        state("draining").set(draining as i64);
-        state("ready").set((fleet.servers.len() - draining) as i64);
+        let servers = |state| metrics.servers.get_or_create(&StateLabels { state });
+        servers("draining").set(draining as i64);
+        servers("ready").set((fleet.servers.len() - draining) as i64);
         let (quarantined, suspects) = quarantine.counts();
-        let contents = |state| metrics.quarantine.get_or_create(&StateLabels { state });
-        contents("quarantined").set(quarantined as i64);
-        contents("suspect").set(suspects as i64);
+        let quarantine_gauge = |state| metrics.quarantine.get_or_create(&StateLabels { state });
+        quarantine_gauge("quarantined").set(quarantined as i64);
+        quarantine_gauge("suspect").set(suspects as i64);
         let counts = signals.counts();
         let signaling = |state| metrics.signaling_servers.get_or_create(&StateLabels { state });
         signaling("limited").set(counts.limited as i64);
@@ -308,11 +309,11 @@
     })
 }
 
-fn directory_response(
+fn directory_handler(
     settings: &GatewaySettings,
     board: &Arc<Board>,
     dialect: &Arc<dyn Dialect>,
-) -> Answering {
+) -> Handler {
     let (board, dialect) = (board.clone(), dialect.clone());
     let lifetime = settings.directory_lifetime();
     Rc::new(move |head| {
@@ -329,8 +330,8 @@
     })
 }
 
-/// Answers peers: with copies of the store's items, and by renewing leases for
-/// nodes that the store turns away.
+/// Starts the server for peers. It sends them copies of the store's items, and renews leases for
+/// nodes that cannot reach the store.
 fn spawn_peer_server(
     address: SocketAddrV4,
     fleet: &Addr<FleetState>,
@@ -343,11 +344,11 @@
         let (fleet, context) = (fleet.clone(), context.clone());
         async move {
             if let Some(lease) = lease_from_renewal_path(head.path()) {
-                return renewal_answer(&context, lease).await;
+                return renewal_response(&context, lease).await;
             }
             match StorePrefix::from_mirror_path(head.path()) {
-                Some((subject, after)) => {
-                    copy_answer(&fleet, &context.traffic, subject, after).await
+                Some((prefix, after)) => {
+                    copy_response(&fleet, &context.traffic, prefix, after).await
                 }
                 None => SimpleResponse::status(404),
             }
@@ -356,26 +357,26 @@
     Ok(())
 }
 
-async fn copy_answer(
+async fn copy_response(
     fleet: &Addr<FleetState>,
     traffic: &ControlTraffic,
-    subject: StorePrefix,
+    prefix: StorePrefix,
     after: StorePosition,
 ) -> SimpleResponse {
-    let kind = match subject {
+    let kind = match prefix {
         StorePrefix::Configuration => TrafficKind::ConfigurationCopy,
         StorePrefix::Servers => TrafficKind::ServersCopy,
     };
-    match fleet.send(GetUpdate { prefix: subject, after }).await {
+    match fleet.send(GetUpdate { prefix, after }).await {
         Ok(Some(body)) => {
             traffic.count(kind, 1, body.len());
-            SimpleResponse { status: 200, content_type: BINARY, body: body.to_vec() }
+            SimpleResponse { status: 200, content_type: COPY_CONTENT_TYPE, body: body.to_vec() }
         }
         _ => SimpleResponse::status(503),
     }
 }
 
-async fn renewal_answer(context: &ControlContext, lease: StoreLease) -> SimpleResponse {
+async fn renewal_response(context: &ControlContext, lease: StoreLease) -> SimpleResponse {
     match context.store.renew_lease(lease).await {
         Ok(true) => SimpleResponse::status(200),
         Ok(false) => SimpleResponse::status(404),
@@ -383,8 +384,8 @@
     }
 }
 
-/// Waits for the signal to stop; a hang-up reads the settings again.
-async fn wait_for_stop(file: &Path, settings: &GatewaySettings) -> Result<(), StartError> {
+/// Waits for SIGTERM or SIGINT. SIGHUP reads the settings file again and logs whether it changed.
+async fn wait_for_stop_signal(file: &Path, settings: &GatewaySettings) -> Result<(), StartError> {
     let mut terminate = signal(SignalKind::terminate()).map_err(StartError::Signals)?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(StartError::Signals)?;
     let mut hangup = signal(SignalKind::hangup()).map_err(StartError::Signals)?;
@@ -392,35 +393,37 @@
         tokio::select! {
             _ = terminate.recv() => return Ok(()),
             _ = interrupt.recv() => return Ok(()),
-            _ = hangup.recv() => reload(file, settings),
+            _ = hangup.recv() => check_settings(file, settings),
         }
     }
 }
 
-fn reload(file: &Path, settings: &GatewaySettings) {
+fn check_settings(file: &Path, settings: &GatewaySettings) {
     match GatewaySettings::read(file) {
-        Ok(read) if read == *settings => info!("[node] settings read again; nothing changed"),
-        Ok(_) => info!("[node] settings changed; they take effect at the next start"),
+        Ok(read) if read == *settings => {
+            info!("[node] settings file was read again; settings are unchanged")
+        }
+        Ok(_) => info!("[node] settings file has changed; changes take effect at the next start"),
         Err(reason) => {
-            warn!("[node] settings cannot be used; the last ones stay in force", kv: { step = "reload", reason = reason.to_string() });
+            warn!("[node] settings file cannot be used; current settings stay in force", kv: { step = "reload", reason = reason.to_string() });
         }
     }
 }
 
-/// The planned stop: the node leaves the directory at once and goes on taking
-/// requests while clients may hold answers that name it, then finishes what
-/// is left.
+/// Shuts the node down gracefully. The node leaves the directory immediately. It still accepts
+/// requests as long as clients may hold directory responses that list it, and then waits until
+/// the requests in progress have ended.
 async fn drain(settings: &GatewaySettings, fleet: &Addr<FleetState>, loads: &LoadBoard) {
     let started = clock::now();
-    info!("[node] leaving; clients are sent elsewhere", kv: { in_progress = loads.in_progress() as u64 });
-    let grace = settings.grace_period();
-    let ends = started + grace.saturating_sub(KILL_MARGIN);
-    let _ = fleet.send(BeginShutdown(ShutdownTimes { started, deadline: ends })).await;
-    let answers_kept = settings.directory_lifetime() * DIRECTORY_LIVES + DIRECTORY_SLACK;
-    clock::sleep(answers_kept.min(grace.mul_f64(LAST_REQUEST_PART))).await;
+    info!("[node] shutting down; clients are directed to other nodes", kv: { in_progress = loads.in_progress() as u64 });
+    let grace_period = settings.grace_period();
+    let deadline = started + grace_period.saturating_sub(KILL_MARGIN);
+    let _ = fleet.send(BeginShutdown(ShutdownTimes { started, deadline })).await;
+    let directory_use = settings.directory_lifetime() * DIRECTORY_LIFETIMES + CLIENT_CONNECT_SLACK;
+    clock::sleep(directory_use.min(grace_period.mul_f64(ACCEPT_FRACTION))).await;
     let _ = fleet.send(StopAcceptingRequests).await;
-    while loads.in_progress() > 0 && clock::now() < ends {
-        clock::sleep(DRAIN_POLL).await;
+    while loads.in_progress() > 0 && clock::now() < deadline {
+        clock::sleep(DRAIN_POLL_INTERVAL).await;
     }
     info!("[node] stopped", kv: { cut_off = loads.in_progress() as u64, age_millis = clock::elapsed(started).as_millis() as u64 });
 }
--- a/crates/cometmoor-gateway/src/settings.rs
+++ b/crates/cometmoor-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway node.
+//! Settings of a gateway node, which are read from a JSON file.
 
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -9,12 +9,12 @@
 use cometmoor_core::gateway::staleness::StalenessLimits;
 use serde::{Deserialize, Serialize};
 
-/// Why settings cannot be used.
+/// Why settings are rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
     /// The file cannot be read.
     Unreadable(String),
-    /// A field is wrong.
+    /// The text is not valid, or the value of a field is out of range.
     Invalid(String),
 }
 
@@ -27,69 +27,70 @@
     }
 }
 
-/// Settings of a gateway node.
+/// Settings of a gateway node. Unknown fields are rejected.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// Name of the node, used in orders and logs.
+    /// Name of the node in orders and log lines.
     pub node: String,
-    /// Zone that the node stands in.
+    /// Zone in which the node runs.
     pub zone: String,
     /// Address for clients' requests.
     pub client_address: SocketAddrV4,
-    /// Address at which the platform asks whether the node is ready.
+    /// Address of the readiness endpoint, for the platform.
     pub ready_address: SocketAddrV4,
-    /// Address at which clients ask which nodes to use.
+    /// Address of the directory, which returns the nodes that clients may use.
     pub directory_address: SocketAddrV4,
-    /// Address for other nodes, by UDP and TCP; its port is the same on all.
+    /// Address for messages of other nodes, by UDP and TCP. The port is the same on all nodes.
     pub peer_address: SocketAddrV4,
-    /// Address at which nodes lend one another allowances of tenants, by UDP; its port is
-    /// the same on all.
+    /// UDP address for messages about allowances that nodes lend one another. The port is the
+    /// same on all nodes.
     pub quota_address: SocketAddrV4,
-    /// Address for metrics; none where it is missing.
+    /// Address of the metrics endpoint; without it there is no such endpoint.
     #[serde(default)]
     pub metrics_address: Option<SocketAddrV4>,
-    /// Peer addresses of some nodes, which may be outdated.
+    /// Peer addresses of some nodes, from which the node learns of the others. They may be
+    /// outdated.
     pub seeds: Vec<SocketAddrV4>,
     /// Address of the platform's store.
     pub store_address: SocketAddrV4,
     /// Whether this is the first start of the whole fleet.
     #[serde(default)]
     pub fresh_fleet: bool,
-    /// Bounds that the operator promises.
+    /// Bounds that the operator guarantees.
     pub bounds: BoundsSettings,
-    /// Most connections of clients at once.
+    /// Maximum number of concurrent connections of clients.
     #[serde(default = "default_max_connections")]
     pub max_connections: usize,
-    /// Life of the directory's answers, in milliseconds.
+    /// Time for which a response of the directory is valid, in milliseconds.
     #[serde(default = "default_directory_lifetime")]
     pub directory_lifetime_millis: u64,
-    /// Mechanisms of the policy that may be switched off to measure what each
-    /// is worth; all are on where the object or a field is missing.
+    /// Mechanisms of the policy, which can be disabled to measure the benefit of each. All are
+    /// enabled if the object is missing, and each one whose field is missing.
     #[serde(default)]
     pub mechanisms: MechanismSettings,
 }
 
-/// Mechanisms of the policy, each on unless switched off. Only for measuring
-/// what one is worth: with any of them off, the node serves worse.
+/// Mechanisms of the policy, each of which is enabled by default. They are disabled only to
+/// measure their benefit: without any one of them, the node serves requests worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields, default)]
 pub struct MechanismSettings {
-    /// Servers that read the same leading parts of a prompt before are
-    /// preferred, by a hash of the model and those parts.
+    /// Servers that have processed the same prefix of a prompt before are preferred, by a hash of
+    /// the model and the prefix's parts.
     pub prompt_affinity: bool,
-    /// A request that every server would answer after its objective is
-    /// refused at once instead of being sent.
+    /// A request that no server would answer within its latency objective is refused immediately
+    /// instead of being sent.
     pub early_refusal: bool,
-    /// A request that finds no server waits a little for one.
+    /// A request for which no server is available waits briefly for one.
     pub wait_for_server: bool,
-    /// The leader moves models between servers; adapters move either way.
+    /// The leader moves models between servers. Adapters are moved even if this is disabled.
     pub model_moves: bool,
-    /// A prompt that would make the running streams of a server pause for too
-    /// long goes to another one, or waits a little.
+    /// A prompt whose prefill would pause the running streams of a server for too long is sent to
+    /// another server, or waits briefly.
     pub pause_protection: bool,
-    /// Running streams move to other servers before their model is unloaded or
-    /// their server leaves.
+    /// Running streams are migrated to other servers before their model is unloaded or their
+    /// server leaves.
     pub run_migration: bool,
 }
 
@@ -106,44 +107,45 @@
     }
 }
 
-/// Bounds that the operator promises.
+/// Bounds that the operator guarantees.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields)]
 pub struct BoundsSettings {
-    /// Seconds from the signal to stop until the process is killed.
+    /// Seconds from the stop signal until the process is killed.
     pub grace_seconds: f64,
-    /// Repeated sends for each request to a service.
+    /// Retries per request to a service.
     pub retry_ratio: f64,
-    /// Repeated sends beyond the ratio, over all nodes.
+    /// Retries per window in addition to the ratio, over all nodes.
     pub retry_extra: f64,
-    /// Window of both, in seconds.
+    /// Length of the sliding window in which retries are counted, in seconds.
     pub retry_window_seconds: f64,
-    /// Life of the lease under which servers are ordered, in milliseconds.
+    /// Lifetime of the leader's lease, under which it sends orders to servers, in milliseconds.
     pub lease_millis: u64,
-    /// Window in which loads from the weight store are counted, in seconds.
+    /// Length of the window in which loads from the weight store are counted, in seconds.
     pub load_window_seconds: f64,
-    /// Milliseconds between two writes of a server's entry.
+    /// Interval between two writes of a server's registry entry, in milliseconds.
     #[serde(default = "default_server_heartbeat_millis")]
     pub server_heartbeat_millis: u64,
-    /// Milliseconds from the store's answer until a leaving server gets no new
-    /// work.
+    /// Maximum time in milliseconds from the store's response to the write that marks a server as
+    /// leaving until the server gets no new work.
     #[serde(default = "default_bound_millis")]
     pub drain_millis: u64,
-    /// Milliseconds from the store's answer until a configuration is in force.
+    /// Maximum time in milliseconds from the store's response to the write of a configuration
+    /// until it is in force.
     #[serde(default = "default_bound_millis")]
     pub apply_millis: u64,
-    /// Milliseconds from the store's answer until a key that was taken away runs nothing,
-    /// also on nodes that are cut off; left out where that is promised for nodes in touch
-    /// with the store only.
+    /// Maximum time in milliseconds from the store's response to the revocation of a key until no
+    /// node runs requests with it, including nodes that are partitioned from the store. `None` if
+    /// that is guaranteed only for nodes that the store answers.
     #[serde(default)]
     pub revoke_millis: Option<u64>,
-    /// Window in which what a tenant runs is counted, in seconds.
+    /// Length of the window for which the bounds on tenants' limits hold, in seconds.
     #[serde(default = "default_quota_window")]
     pub quota_window_seconds: f64,
-    /// Part of a limit by which all nodes together may exceed it.
+    /// Fraction of a tenant's allowance by which all nodes together may exceed it.
     #[serde(default = "default_quota_excess")]
     pub quota_excess: f64,
-    /// Amount beyond that, in the limit's unit.
+    /// Fixed amount beyond the allowance and its excess, in the limit's unit.
     #[serde(default)]
     pub quota_slack: f64,
 }
@@ -173,23 +175,23 @@
 }
 
 impl GatewaySettings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     pub fn read(path: &Path) -> Result<GatewaySettings, SettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| SettingsError::Unreadable(format!("{}: {error}", path.display())))?;
         GatewaySettings::parse(&text)
     }
 
-    /// Reads and checks a text.
+    /// Parses and validates the text of a settings file.
     pub fn parse(text: &str) -> Result<GatewaySettings, SettingsError> {
         let mut deserializer = serde_json::Deserializer::from_str(text);
         let settings: GatewaySettings = serde_path_to_error::deserialize(&mut deserializer)
             .map_err(|error| SettingsError::Invalid(error.to_string()))?;
-        settings.check()?;
+        settings.validate()?;
         Ok(settings)
     }
 
-    fn check(&self) -> Result<(), SettingsError> {
+    fn validate(&self) -> Result<(), SettingsError> {
         let positive = [
             ("bounds.graceSeconds", self.bounds.grace_seconds),
             ("bounds.retryWindowSeconds", self.bounds.retry_window_seconds),
@@ -204,18 +206,18 @@
             ("maxConnections", self.max_connections as f64),
         ];
         for (name, value) in positive {
-            let usable = value > 0.0 && Duration::try_from_secs_f64(value).is_ok();
-            if !usable {
+            let is_valid = value > 0.0 && Duration::try_from_secs_f64(value).is_ok();
+            if !is_valid {
                 return Err(SettingsError::Invalid(format!("{name} must be above zero")));
             }
         }
-        let shares = [
+        let non_negative = [
             ("bounds.retryRatio", self.bounds.retry_ratio),
             ("bounds.retryExtra", self.bounds.retry_extra),
             ("bounds.quotaExcess", self.bounds.quota_excess),
             ("bounds.quotaSlack", self.bounds.quota_slack),
         ];
-        for (name, value) in shares {
+        for (name, value) in non_negative {
             if !(value.is_finite() && value >= 0.0) {
                 return Err(SettingsError::Invalid(format!("{name} must not be negative")));
             }
@@ -223,30 +225,30 @@
         Ok(())
     }
 
-    /// Life of the directory's answers.
+    /// Time for which a response of the directory is valid.
     pub fn directory_lifetime(&self) -> Duration {
         Duration::from_millis(self.directory_lifetime_millis)
     }
 
-    /// Pause between two writes of a server's entry.
+    /// Interval between two writes of a server's registry entry.
     pub fn server_heartbeat(&self) -> Duration {
         Duration::from_millis(self.bounds.server_heartbeat_millis)
     }
 
-    /// How old this node's copies of the store may become.
+    /// Limits on the age of this node's copies of the store, by the stricter one of the drain and
+    /// the apply bound.
     pub fn staleness_limits(&self) -> StalenessLimits {
         let millis = self.bounds.drain_millis.min(self.bounds.apply_millis);
         StalenessLimits::new(Duration::from_millis(millis))
     }
 
-    /// For how long this node's copy of the configuration counts after it was shown to be
-    /// the newest.
+    /// Limits on the age of the proof that this node's copy of the configuration is the newest.
     pub fn proof_limits(&self) -> ProofLimits {
         let revoke = self.bounds.revoke_millis.map(Duration::from_millis);
         ProofLimits::new(Duration::from_millis(self.bounds.apply_millis), revoke)
     }
 
-    /// What operators promise of tenants' limits.
+    /// Bounds on the usage of tenants beyond their limits.
     pub fn quota_bounds(&self) -> QuotaBounds {
         QuotaBounds {
             window: Duration::from_secs_f64(self.bounds.quota_window_seconds),
@@ -256,12 +258,12 @@
         }
     }
 
-    /// Window in which repeated sends are counted.
+    /// Length of the sliding window in which retries are counted.
     pub fn retry_window(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.retry_window_seconds)
     }
 
-    /// Time from the signal to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     pub fn grace_period(&self) -> Duration {
         Duration::from_secs_f64(self.bounds.grace_seconds)
     }
--- a/crates/cometmoor-gateway/src/store.rs
+++ b/crates/cometmoor-gateway/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: reads, watches, commits and leases.
+//! Client of the platform's store: reads, watches, commits and leases.
 
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -13,19 +13,19 @@
 use crate::mirror::Mirror;
 use crate::store_era::{EraTracker, PastEra};
 
-/// Time for an answer.
+/// Default timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// Why a call to the store failed.
 #[derive(Debug)]
 pub enum StoreError {
-    /// There is no answer.
+    /// The call got no response.
     Call(CallError),
-    /// The answer is not what was expected.
+    /// The response has an unexpected format.
     InvalidResponse(FormatError),
-    /// The answer is of an era that is over.
+    /// The response is from an era that has ended.
     PastEra(StoreEra),
-    /// An era began between the pages of a read.
+    /// A new era began between two pages of a read.
     EraChanged,
 }
 
@@ -35,9 +35,11 @@
             StoreError::Call(error) => write!(formatter, "{error}"),
             StoreError::InvalidResponse(error) => write!(formatter, "{error}"),
             StoreError::PastEra(era) => {
-                write!(formatter, "the answer is of era {era}, which is over")
+                write!(formatter, "the response is from era {era}, which has ended")
+            }
+            StoreError::EraChanged => {
+                write!(formatter, "a new era began between two pages of a read")
             }
-            StoreError::EraChanged => write!(formatter, "an era began between two pages"),
         }
     }
 }
@@ -54,25 +56,25 @@
     }
 }
 
-/// What the store answered, and the era that it is of.
+/// A response of the store, and the era that it is from.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreResponse<Content> {
-    /// The era.
+    /// Era of the store in which it responded.
     pub era: StoreEra,
-    /// What it answered.
+    /// The parsed response, or the raw one.
     pub content: Content,
 }
 
-/// A lease, which the store knows in one era only.
+/// A lease, which is valid in one era of the store only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreLease {
-    /// Identifier; another era may give it out again.
+    /// Identifier; the store may assign it again in another era.
     pub id: u64,
-    /// The era.
+    /// Era in which the lease was granted.
     pub era: StoreEra,
 }
 
-/// A client of the store.
+/// A client of the store. Every response is assigned to an era; responses of past eras are errors.
 pub struct Store {
     dialect: Arc<dyn Dialect>,
     client: CallClient,
@@ -80,29 +82,29 @@
     eras: EraTracker,
 }
 
-/// A read of all items under a prefix, page by page. The copy is as of the first
-/// page: what later pages bring beyond it is told again by the watch.
+/// A read of all items under a prefix, page by page. The copy has the position of the first page;
+/// changes between the pages are delivered again by a watch from that position.
 #[derive(Debug, Default)]
 pub struct PagedRead {
     items: Vec<Item>,
-    at: Option<StorePosition>,
+    position: Option<StorePosition>,
 }
 
 impl PagedRead {
-    /// The copy, when all pages have been read.
+    /// Returns the copy, after all pages have been read.
     pub fn finish(self) -> Mirror {
-        Mirror::from_items(self.items, self.at.unwrap_or_default())
+        Mirror::from_items(self.items, self.position.unwrap_or_default())
     }
 }
 
 impl Store {
-    /// A client of the store at the address.
+    /// Creates a client of the store at `address`.
     pub fn new(dialect: Arc<dyn Dialect>, address: SocketAddrV4, metrics: Arc<Metrics>) -> Store {
         let eras = EraTracker::new(metrics.clone());
         Store { dialect, client: CallClient::new(address), metrics, eras }
     }
 
-    /// The newest era that this node has heard of.
+    /// The tracker of the store's eras.
     pub fn eras(&self) -> &EraTracker {
         &self.eras
     }
@@ -111,58 +113,57 @@
         &self,
         kind: TrafficKind,
         call: &Call,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<StoreResponse<Response>, StoreError> {
-        let newest_then = self.eras.newest();
-        let answer = self.client.call(call, within).await;
-        let bytes = answer.as_ref().map_or(0, |answer| answer.body.len());
+        let newest_at_call = self.eras.newest();
+        let response = self.client.call(call, timeout).await;
+        let bytes = response.as_ref().map_or(0, |response| response.body.len());
         self.metrics.control.count(kind, 1, bytes);
-        let content = answer.map_err(StoreError::Call)?;
+        let content = response.map_err(StoreError::Call)?;
         let number = self.dialect.store_era(&content);
-        let era = self.eras.note_answer(kind.name(), number, newest_then)?;
+        let era = self.eras.note_answer(kind.name(), number, newest_at_call)?;
         Ok(StoreResponse { era, content })
     }
 
-    /// Reads all items under a prefix.
+    /// Reads all items under a prefix, with the default timeout for each page.
     pub async fn read(&self, prefix: &str) -> Result<Mirror, StoreError> {
         self.read_with_timeout(prefix, CALL_TIMEOUT).await
     }
 
-    /// The same with a time for each page.
+    /// Reads all items under a prefix, with a timeout for each page.
     pub async fn read_with_timeout(
         &self,
         prefix: &str,
-        page: Duration,
+        timeout: Duration,
     ) -> Result<Mirror, StoreError> {
         let mut read = PagedRead::default();
-        while self.read_page(prefix, &mut read, page).await? {}
+        while self.read_page(prefix, &mut read, timeout).await? {}
         Ok(read.finish())
     }
 
-    /// Reads the next page of a prefix, with a time for the answer; tells whether
-    /// there are more.
+    /// Reads the next page of a prefix into `read`. Returns whether there are more pages.
     pub async fn read_page(
         &self,
         prefix: &str,
         read: &mut PagedRead,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<bool, StoreError> {
         let after = read.items.last().map(|item| item.key.as_str());
         let call = self.dialect.read_range(prefix, after);
-        let answer = self.call(TrafficKind::StoreRead, &call, within).await?;
-        let told = self.dialect.parse_range(&answer.content)?;
-        let at = StorePosition { era: answer.era, revision: told.revision };
-        if read.at.get_or_insert(at).era != answer.era {
+        let response = self.call(TrafficKind::StoreRead, &call, timeout).await?;
+        let range = self.dialect.parse_range(&response.content)?;
+        let position = StorePosition { era: response.era, revision: range.revision };
+        if read.position.get_or_insert(position).era != response.era {
             return Err(StoreError::EraChanged);
         }
-        let more = told.more && !told.items.is_empty();
-        read.items.extend(told.items);
+        let more = range.more && !range.items.is_empty();
+        read.items.extend(range.items);
         Ok(more)
     }
 
-    /// Waits for changes under a prefix after a point in the store's history. `slack` is the
-    /// time for the answer beyond the wait. A store of another era than that point's cannot
-    /// tell what came after it.
+    /// Waits up to `wait` for changes under a prefix after a position. The response may take
+    /// longer than `wait` by `slack`. The result is [`WatchResult::Compacted`] if the store is in
+    /// another era than the position, because it then does not know the changes after it.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -171,45 +172,45 @@
         slack: Duration,
     ) -> Result<WatchResult, StoreError> {
         let call = self.dialect.watch(prefix, after.revision, wait);
-        let answer = self.call(TrafficKind::StoreWatch, &call, wait + slack).await?;
-        let watched = self.dialect.parse_watch(&answer.content)?;
-        Ok(if answer.era == after.era { watched } else { WatchResult::Compacted })
+        let response = self.call(TrafficKind::StoreWatch, &call, wait + slack).await?;
+        let watched = self.dialect.parse_watch(&response.content)?;
+        Ok(if response.era == after.era { watched } else { WatchResult::Compacted })
     }
 
-    /// Uses none of the connections that rest: what was sent on another one has
-    /// no answer, and they may have gone silent with it.
+    /// Closes the idle connections: after a call without a response on another connection, they
+    /// may be dead as well.
     pub fn close_idle_connections(&self) {
         self.client.close_idle();
     }
 
-    /// Writes under conditions.
+    /// Writes items if the conditions of the commit hold.
     pub async fn commit(&self, commit: &Commit) -> Result<StoreResponse<CommitResult>, StoreError> {
         let call = self.dialect.commit(commit);
-        let answer = self.call(TrafficKind::StoreCommit, &call, CALL_TIMEOUT).await?;
-        let content = self.dialect.parse_commit(&answer.content)?;
-        Ok(StoreResponse { era: answer.era, content })
+        let response = self.call(TrafficKind::StoreCommit, &call, CALL_TIMEOUT).await?;
+        let content = self.dialect.parse_commit(&response.content)?;
+        Ok(StoreResponse { era: response.era, content })
     }
 
-    /// Asks for a lease.
+    /// Requests a new lease.
     pub async fn grant_lease(&self, lifetime: Duration) -> Result<StoreLease, StoreError> {
         let call = self.dialect.grant_lease(lifetime);
-        let answer = self.call(TrafficKind::StoreLease, &call, CALL_TIMEOUT).await?;
-        let id = self.dialect.parse_lease_grant(&answer.content)?;
-        Ok(StoreLease { id, era: answer.era })
+        let response = self.call(TrafficKind::StoreLease, &call, CALL_TIMEOUT).await?;
+        let id = self.dialect.parse_lease_grant(&response.content)?;
+        Ok(StoreLease { id, era: response.era })
     }
 
-    /// Renews a lease; tells whether it goes on. In another era the store may have a lease
-    /// of the same identifier that is somebody else's.
+    /// Renews a lease. Returns false if it has ended, which includes that its era has: in another
+    /// era, the same identifier may belong to a lease of somebody else.
     pub async fn renew_lease(&self, lease: StoreLease) -> Result<bool, StoreError> {
         if lease.era < self.eras.newest() {
             return Ok(false);
         }
         let call = self.dialect.renew_lease(lease.id);
-        let answer = self.call(TrafficKind::StoreLease, &call, CALL_TIMEOUT).await?;
-        Ok(self.dialect.parse_lease_renewal(&answer.content)? && answer.era == lease.era)
+        let response = self.call(TrafficKind::StoreLease, &call, CALL_TIMEOUT).await?;
+        Ok(self.dialect.parse_lease_renewal(&response.content)? && response.era == lease.era)
     }
 
-    /// Gives a lease back, unless its era is over.
+    /// Revokes a lease. Does nothing if the lease's era has ended.
     pub async fn revoke_lease(&self, lease: StoreLease) -> Result<(), StoreError> {
         if lease.era < self.eras.newest() {
             return Ok(());
--- a/crates/cometmoor-gateway/tests/explain.rs
+++ b/crates/cometmoor-gateway/tests/explain.rs
@@ -1,4 +1,4 @@
-//! From a request's identifier to its story, over the log lines of two nodes.
+//! The log lines of a request, with the state that its node knew, from the logs of two nodes.
 
 use cometmoor_gateway::explain::explain;
 
@@ -14,8 +14,8 @@
 "#;
 
 #[test]
-fn the_lines_of_a_request_come_in_order_with_what_its_node_believed() {
-    let story = explain("abc", LINES);
+fn lines_of_a_request_are_ordered_and_followed_by_the_state_its_node_knew() {
+    let explanation = explain("abc", LINES);
     let expected = [
         "1400 node-1 [forward] sent request=abc server=i-1",
         "    believed for 400 ms: 1000 node-1 [configuration] version 4 is in force version=4",
@@ -26,6 +26,6 @@
         "    believed for 200 ms: 1300 node-1 [servers] a server is known server=i-1",
         "    believed for 150 ms: 1350 node-1 [signals] a server has set a limit from=node-2 per_second=2.0 server=i-1 source=peer",
     ];
-    assert_eq!(story, expected);
+    assert_eq!(explanation, expected);
     assert!(explain("unknown", LINES).is_empty());
 }
--- a/crates/cometmoor-gateway/tests/log.rs
+++ b/crates/cometmoor-gateway/tests/log.rs
@@ -1,4 +1,4 @@
-//! Log lines never hold anybody up.
+//! Writing a log line never blocks the caller.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, channel};
@@ -6,17 +6,17 @@
 use cometmoor_gateway::log::{build_logger, dropped_lines};
 use spdlog::info;
 
-/// More lines than the queue holds.
+/// Number of lines, which is more than the queue holds.
 const LINES: u64 = 20_000;
 
-/// An output whose reader reads nothing until the test is over.
-struct Unread {
-    over: Receiver<()>,
+/// An output that blocks in its first write until the test ends.
+struct BlockedOutput {
+    test_end: Receiver<()>,
 }
 
-impl Write for Unread {
+impl Write for BlockedOutput {
     fn write(&mut self, _: &[u8]) -> io::Result<usize> {
-        let _ = self.over.recv();
+        let _ = self.test_end.recv();
         Err(io::ErrorKind::BrokenPipe.into())
     }
 
@@ -26,13 +26,13 @@
 }
 
 #[test]
-fn a_reader_that_never_reads_stops_nobody_and_drops_are_counted() {
-    let (over, unread) = channel();
-    let logger = build_logger("node-1", spdlog::Level::Info, Unread { over: unread }).unwrap();
+fn a_blocked_output_does_not_block_callers_and_dropped_lines_are_counted() {
+    let (test_running, test_end) = channel();
+    let logger = build_logger("node-1", spdlog::Level::Info, BlockedOutput { test_end }).unwrap();
     for number in 0..LINES {
         info!(logger: logger, "[test] a line", kv: { number });
     }
-    // All lines were given up by now, so that this point was reached at all.
+    // The output is still blocked here, so that no line has waited for it.
     assert!(dropped_lines() > LINES / 2, "{} of {LINES} lines were dropped", dropped_lines());
-    drop(over);
+    drop(test_running);
 }
--- a/crates/cometmoor-gateway/tests/settings.rs
+++ b/crates/cometmoor-gateway/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings of a gateway node: mechanisms of the policy are on unless a
-//! setting switches one off, and a misspelt switch is refused.
+//! Settings of a gateway node: mechanisms of the policy are enabled unless a setting disables one,
+//! and an unknown setting is rejected.
 
 use cometmoor_gateway::settings::{GatewaySettings, MechanismSettings};
 
@@ -20,10 +20,10 @@
 }
 
 #[test]
-fn every_mechanism_is_on_where_the_settings_are_silent() {
+fn all_mechanisms_are_enabled_by_default() {
     let settings = GatewaySettings::parse(&settings_with("")).unwrap();
     assert_eq!(settings.mechanisms, MechanismSettings::default());
-    let all_on = MechanismSettings {
+    let all_enabled = MechanismSettings {
         prompt_affinity: true,
         early_refusal: true,
         wait_for_server: true,
@@ -31,11 +31,11 @@
         pause_protection: true,
         run_migration: true,
     };
-    assert_eq!(settings.mechanisms, all_on);
+    assert_eq!(settings.mechanisms, all_enabled);
 }
 
 #[test]
-fn one_mechanism_is_switched_off_alone() {
+fn a_single_mechanism_can_be_disabled() {
     let text = settings_with(r#", "mechanisms": { "earlyRefusal": false }"#);
     let settings = GatewaySettings::parse(&text).unwrap();
     assert!(!settings.mechanisms.early_refusal);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_misspelt_mechanism_is_refused() {
+fn an_unknown_mechanism_is_rejected() {
     let text = settings_with(r#", "mechanisms": { "earlyRefusals": false }"#);
     assert!(GatewaySettings::parse(&text).is_err());
 }
