--- a/crates/cometmoor-gateway/src/settings.rs
+++ b/crates/cometmoor-gateway/src/settings.rs
@@ -72,7 +72,7 @@
 }
 
 /// Mechanisms of the policy, each of which is enabled by default. They are disabled only to
-/// measure their benefit: without any one of them, the node serves requests worse.
+/// measure their benefit: with any of them disabled, the node serves requests worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase", deny_unknown_fields, default)]
 pub struct MechanismSettings {
