--- a/crates/cometmoor-gateway/src/dialect.rs
+++ b/crates/cometmoor-gateway/src/dialect.rs
@@ -1,6 +1,6 @@
-//! What the gateway has to know of the platform's messages, in its own terms.
+//! The platform's messages in the gateway's own types.
 //!
-//! An implementation holds names and formats. It decides nothing.
+//! An implementation of [`Dialect`] maps names and formats. It makes no decisions.
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -16,175 +16,176 @@
 /// A message does not have the expected format.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FormatError {
-    /// What was read.
-    pub what: &'static str,
-    /// What is wrong with it.
+    /// Message or value that was parsed.
+    pub context: &'static str,
+    /// Description of the error.
     pub reason: String,
 }
 
 impl std::fmt::Display for FormatError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "{}: {}", self.what, self.reason)
+        write!(formatter, "{}: {}", self.context, self.reason)
     }
 }
 
-/// A part of a prompt that other requests may share.
+/// A part of a prompt that other requests may have in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identifier of the part's content.
+    /// Identifier of its content.
     pub id: u64,
-    /// Its tokens.
+    /// Number of tokens.
     pub tokens: u64,
 }
 
-/// The model that a request asks for.
+/// Name of a model, or of an adapter with its model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ModelName {
     /// Name of the model.
     pub model: String,
-    /// Name of the adapter.
+    /// Name of the adapter; `None` for the model itself.
     pub adapter: Option<String>,
 }
 
-/// What the headers of a client's request tell.
+/// Values of the headers of a client's request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestMetadata {
-    /// Identifier of the client's attempt.
+    /// Identifier that the client gave its attempt; empty if it gave none.
     pub id: String,
-    /// Key of the caller, as a digest.
+    /// Digest of the client's key.
     pub key: PresentedKey,
-    /// Time that the client waits.
+    /// Time for which the client waits for the response; `None` if it sets no deadline.
     pub deadline: Option<Duration>,
-    /// Model that is asked for.
+    /// Requested model; `None` if the request is not for a model.
     pub model: Option<ModelName>,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens of the response.
     pub output_tokens: u64,
-    /// Whether the client named its tokens.
+    /// Whether the client declared its number of tokens.
     pub declares_tokens: bool,
-    /// Parts of the prompt, in order.
+    /// Parts of the prompt in order.
     pub parts: Vec<PromptPart>,
 }
 
 impl RequestMetadata {
-    /// Tokens of the prompt and of the longest answer, where the client named them.
+    /// Number of tokens of the prompt and of the longest allowed response; `None` if the client did
+    /// not declare them.
     pub fn tokens(&self) -> Option<u64> {
         self.declares_tokens.then(|| self.prompt_tokens.saturating_add(self.output_tokens))
     }
 }
 
-/// What the gateway tells a server with a request.
+/// Metadata that the gateway sends to a server with a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SendMetadata<'a> {
-    /// Incarnation that the request is meant for.
+    /// Incarnation that the request is intended for.
     pub server: &'a str,
-    /// Time that is left for the answer.
+    /// Time until the deadline of the response.
     pub time_left: Duration,
-    /// Rank among the server's requests, 0 is the most urgent.
+    /// Priority among the requests of the server; 0 is the most urgent.
     pub urgency: Option<u8>,
-    /// Name of the tenant whose request it is.
+    /// Name of the tenant of the request.
     pub tenant: Option<&'a str>,
-    /// The last event that the client has, where a stream goes on.
+    /// Identifier of the last event that the client has received, if a stream is resumed.
     pub resume_after: Option<&'a str>,
-    /// The copy of a run's memory from which the stream goes on.
+    /// Copy of a run's memory from which the stream is resumed.
     pub run_copy: Option<&'a RunCopy>,
 }
 
-/// Asks a server to copy the memory of a run to another one.
+/// A request to a server to copy the memory of a run to another server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunMigration<'a> {
-    /// Incarnation that runs the request.
+    /// Incarnation that is running the request.
     pub server: &'a str,
     /// Identifier of the request.
     pub request: &'a str,
-    /// Address of the server that gets the memory.
+    /// Address of the server that receives the memory.
     pub target: SocketAddrV4,
-    /// Whether the run stops, so that it can go on at the other server.
+    /// Whether to stop the run, so that it can be resumed at the target.
     pub stop_run: bool,
 }
 
-/// A copy of a run's memory that one request may go on from.
+/// A copy of a run's memory from which one request may resume the run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunCopy {
-    /// Address of the server that ran the request.
+    /// Address of the server that was running the request.
     pub source: SocketAddrV4,
-    /// The source's name for the copy.
+    /// Handle that the source assigned to the copy.
     pub handle: String,
 }
 
-/// What a server answered to a move of a run.
+/// Response of a server to a run migration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunMigrationResponse {
-    /// The copy is at the other server; the source's name for it.
+    /// The target has the copy; the handle that the source assigned to it.
     Copied(String),
-    /// There is no room at the other server, or no way there. A run that was
-    /// stopped can go on at its source from the copy of this name.
+    /// The target has no capacity or is unreachable. If the run was stopped, it can be resumed at
+    /// its source from the copy with this handle.
     NoRoom(Option<String>),
-    /// The server does not run the request, or is moving it already.
+    /// The server is not running the request, or is already migrating it; the status code.
     NotMoved(u16),
 }
 
-/// Load that a server tells with an answer.
+/// Load that a server reports with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Number of requests that can run concurrently.
     pub slots: u32,
 }
 
-/// What the head of a server's answer tells.
+/// Values of the headers of a server's response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResponseMetadata<'a> {
-    /// Identifier of the request that it answers.
+    /// Identifier of the request that the response belongs to.
     pub request_id: Option<&'a str>,
-    /// The server says that it did not run the request.
+    /// Whether the server states that it did not run the request.
     pub not_run: bool,
-    /// The request was meant for another incarnation, or for a model that is
-    /// not there.
+    /// Whether the request was intended for another incarnation, or for a model that the server does
+    /// not have.
     pub misdirected: bool,
-    /// Load of the server.
+    /// Load of the server; `None` if it reports none.
     pub load: Option<ReportedLoad>,
-    /// What it says of its server; nothing where that may be another server.
+    /// Signals of the server; `None` if they may be those of another server.
     pub signals: Option<ResponseSignals>,
 }
 
-/// An item of the store.
+/// An item in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
     /// Key.
     pub key: String,
     /// Value.
     pub value: Vec<u8>,
-    /// Revision of its last change.
+    /// Revision of its last modification.
     pub revision: u64,
     /// Revision at which it was created.
     pub create_revision: u64,
-    /// Version that its writer gives it, which only rises; none where it gives none, or where
-    /// the item cannot be read.
+    /// Version that its writer assigns, which only increases; `None` if the writer assigns none or
+    /// the item cannot be parsed.
     pub version: Option<u64>,
 }
 
-/// A page of a range.
+/// A page of a range read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
     /// Items in the order of their keys.
     pub items: Vec<Item>,
-    /// Whether there are more behind the last one.
+    /// Whether the range has further items after the last one.
     pub more: bool,
-    /// Revision of the store.
+    /// Revision of the store at the read.
     pub revision: u64,
 }
 
-/// A change that a watch tells.
+/// A change that a watch returns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
     /// An item was written.
     Put(Item),
-    /// A key is gone.
+    /// A key was deleted.
     Deleted {
         /// The key.
         key: String,
@@ -203,166 +204,167 @@
     }
 }
 
-/// What a watch answers.
+/// Result of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchResult {
-    /// Changes in order; none where there were none while it waited.
+    /// Changes in order; empty if there were none during the wait.
     Events(Vec<WatchEvent>),
-    /// The store has forgotten what came after the revision.
+    /// The store has compacted the changes after the revision.
     Compacted,
 }
 
-/// Writes that are done all or not at all.
+/// An atomic transaction: either all writes are applied or none.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Commit {
-    /// Keys with the revisions that they must have; 0 for absent.
+    /// Keys with the revisions that they must have; 0 if the key must be absent.
     pub conditions: Vec<(String, u64)>,
-    /// Items to write: key, value, lease (0 for none).
+    /// Items to write: key, value and lease (0 for none).
     pub puts: Vec<(String, Vec<u8>, u64)>,
 }
 
-/// What a commit answers.
+/// Result of a commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitResult {
-    /// Done at this revision.
+    /// Applied at this revision.
     Committed(u64),
-    /// A condition does not hold; nothing was done.
+    /// A condition does not hold; nothing was applied.
     Conflict,
-    /// The lease is over; nothing was done.
+    /// The lease has expired; nothing was applied.
     LeaseExpired,
 }
 
-/// An order to a model server.
+/// Action of an order to a model server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum OrderKind {
-    /// Brings a model into the accelerators' memory.
+    /// Load the model into the accelerators' memory.
     Load,
-    /// Takes it out.
+    /// Unload it.
     Unload,
 }
 
 /// An order to a model server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order<'a> {
-    /// Incarnation that the order is meant for.
+    /// Incarnation that the order is intended for.
     pub server: &'a str,
-    /// What to do.
+    /// Action.
     pub kind: OrderKind,
-    /// With which model.
+    /// Model or adapter to load or unload.
     pub model: &'a ModelName,
-    /// Orders that the server must have taken before.
+    /// Number of orders that the server must have accepted before.
     pub expected_orders: u64,
-    /// Who orders.
+    /// Holder of the leadership that sends the order.
     pub holder: &'a str,
-    /// Rises with each change of who orders.
+    /// Fencing token, which increases with each change of the holder.
     pub fencing_token: u64,
 }
 
-/// What a server answered to an order.
+/// Response of a server to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderResponse {
-    /// It is being carried out.
+    /// The order is in progress.
     Accepted,
-    /// There was nothing to do.
+    /// The model is already in the requested state.
     AlreadyDone,
-    /// Another order is under way, or the count did not match.
+    /// Another order is in progress, or the number of orders did not match.
     Conflict,
-    /// A newer holder has ordered.
+    /// The fencing token is stale: the server has an order of a newer holder.
     Fenced,
-    /// Another server has the address.
+    /// The address belongs to another server now.
     OtherServer,
-    /// It is not understood, or something else.
+    /// The order was not understood or failed otherwise; the status code.
     Refused(u16),
 }
 
-/// What a model server tells of itself when asked.
+/// State that a model server reports on request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineReport {
-    /// When the process began, in Unix milliseconds; none where it does not tell.
+    /// Start time of the process in Unix milliseconds; `None` if the server does not report it.
     pub started_unix_ms: Option<u64>,
-    /// Orders taken.
+    /// Number of orders that it has accepted.
     pub orders: u64,
-    /// An order is under way.
+    /// Whether an order is in progress.
     pub busy: bool,
-    /// Models that it holds, with their adapters.
+    /// Loaded models with their adapters.
     pub models: Vec<cometmoor_core::gateway::registry::LoadedModel>,
-    /// Adapters under way.
+    /// Adapters that are being loaded.
     pub pending_adapters: Vec<ModelName>,
-    /// Models in host memory.
+    /// Models that are cached in host memory.
     pub in_host_memory: Vec<String>,
-    /// Models on disk.
+    /// Models that are cached on disk.
     pub on_disk: Vec<String>,
 }
 
-/// Names and formats of a platform.
+/// Names and formats of a platform's messages.
 pub trait Dialect: Send + Sync + 'static {
-    /// Path at which the platform asks whether a node is ready.
+    /// Path of the readiness check.
     fn ready_path(&self) -> &str;
-    /// Path at which clients ask for addresses.
+    /// Path of the directory, from which clients read node addresses.
     fn directory_path(&self) -> &str;
-    /// Zone that a client names in its question for addresses.
+    /// Zone of the client that a directory request names.
     fn directory_zone<'a>(&self, head: &'a crate::http::head::RequestHead) -> Option<&'a str>;
-    /// The answer to a client that asks for addresses.
+    /// Encodes the body of a directory response; `lifetime` is how long clients may use the addresses.
     fn directory_response(&self, addresses: &[SocketAddrV4], lifetime: Duration) -> Vec<u8>;
 
-    /// Reads the headers of a client's request.
+    /// Parses the headers of a client's request.
     fn request_metadata(&self, headers: &Headers) -> Result<RequestMetadata, FormatError>;
-    /// Whether the gateway sets this header itself, so that a client's is left
-    /// out.
+    /// Whether only the gateway sets this header, so that the client's is not forwarded. `resumes` is
+    /// true if the request resumes a stream.
     fn overrides_header(&self, name: &str, resumes: bool) -> bool;
-    /// Headers that go to the server with the request.
+    /// Headers that are sent to the server with a request.
     fn send_headers(&self, metadata: &SendMetadata<'_>) -> Vec<(&'static str, String)>;
-    /// Reads the head of a server's answer.
+    /// Parses the headers of a server's response.
     fn response_metadata<'a>(&self, head: &'a ResponseHead) -> ResponseMetadata<'a>;
-    /// Header that tells a refused client when to come back.
+    /// Header with the retry delay of a refused request.
     fn retry_after_header(&self, after: Duration) -> (&'static str, String);
-    /// Header of own answers that carries the request's identifier.
+    /// Header with the request's identifier in responses that the gateway makes itself.
     fn request_id_header(&self) -> &'static str;
 
-    /// Key of the configuration.
+    /// Key of the configuration in the store.
     fn configuration_key(&self) -> &str;
-    /// Prefix of the servers' keys.
+    /// Prefix of the keys of server entries in the store.
     fn servers_prefix(&self) -> &str;
-    /// Reads a configuration.
+    /// Parses a configuration.
     fn parse_configuration(&self, value: &[u8]) -> Result<GatewayConfiguration, FormatError>;
-    /// Reads a server's entry.
+    /// Parses the entry of a server.
     fn parse_server(&self, key: &str, value: &[u8]) -> Result<ServerRecord, FormatError>;
 
-    /// Number of the store's era, which comes with its answers; none where the answer has none.
-    fn store_era(&self, answer: &Response) -> Result<Option<u32>, FormatError>;
-    /// Reads a range of keys; `after` is the last key of the page before.
+    /// Number of the store's era in a response of the store; `None` if the response has none.
+    fn store_era(&self, response: &Response) -> Result<Option<u32>, FormatError>;
+    /// Call that reads the next page of the keys with a prefix; `after` is the last key of the
+    /// previous page.
     fn read_range(&self, prefix: &str, after: Option<&str>) -> Call;
-    /// Reads the answer.
-    fn parse_range(&self, answer: &Response) -> Result<Page, FormatError>;
-    /// Waits for changes after a revision.
+    /// Parses the response to [`Dialect::read_range`].
+    fn parse_range(&self, response: &Response) -> Result<Page, FormatError>;
+    /// Call that waits for changes after a revision, at most for `wait`.
     fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Call;
-    /// Reads the answer.
-    fn parse_watch(&self, answer: &Response) -> Result<WatchResult, FormatError>;
-    /// Writes under conditions.
+    /// Parses the response to [`Dialect::watch`].
+    fn parse_watch(&self, response: &Response) -> Result<WatchResult, FormatError>;
+    /// Call that commits a transaction.
     fn commit(&self, commit: &Commit) -> Call;
-    /// Reads the answer.
-    fn parse_commit(&self, answer: &Response) -> Result<CommitResult, FormatError>;
-    /// Asks for a lease.
+    /// Parses the response to [`Dialect::commit`].
+    fn parse_commit(&self, response: &Response) -> Result<CommitResult, FormatError>;
+    /// Call that grants a lease.
     fn grant_lease(&self, lifetime: Duration) -> Call;
-    /// Reads the answer: the identifier of the lease.
-    fn parse_lease_grant(&self, answer: &Response) -> Result<u64, FormatError>;
-    /// Renews a lease.
+    /// Parses the response to [`Dialect::grant_lease`] into the identifier of the lease.
+    fn parse_lease_grant(&self, response: &Response) -> Result<u64, FormatError>;
+    /// Call that renews a lease.
     fn renew_lease(&self, id: u64) -> Call;
-    /// Reads the answer: whether the lease goes on.
-    fn parse_lease_renewal(&self, answer: &Response) -> Result<bool, FormatError>;
-    /// Gives a lease back.
+    /// Parses the response to [`Dialect::renew_lease`]; false if the lease does not exist any more.
+    fn parse_lease_renewal(&self, response: &Response) -> Result<bool, FormatError>;
+    /// Call that revokes a lease.
     fn revoke_lease(&self, id: u64) -> Call;
 
-    /// An order to a model server.
+    /// Call that sends an order to a model server.
     fn order(&self, order: &Order<'_>) -> Call;
-    /// Reads the answer.
-    fn parse_order(&self, answer: &Response) -> OrderResponse;
-    /// Asks a model server to copy a run's memory to another one.
+    /// Parses the response to [`Dialect::order`].
+    fn parse_order(&self, response: &Response) -> OrderResponse;
+    /// Call that asks a model server to copy the memory of a run to another one.
     fn migrate_run(&self, run_migration: &RunMigration<'_>) -> Call;
-    /// Reads the answer.
-    fn parse_run_migration(&self, answer: &Response) -> RunMigrationResponse;
-    /// Asks a model server for its state.
+    /// Parses the response to [`Dialect::migrate_run`].
+    fn parse_run_migration(&self, response: &Response) -> RunMigrationResponse;
+    /// Call that requests the state of a model server.
     fn report(&self, server: &str) -> Call;
-    /// Reads the answer.
-    fn parse_report(&self, answer: &Response) -> Result<EngineReport, FormatError>;
+    /// Parses the response to [`Dialect::report`].
+    fn parse_report(&self, response: &Response) -> Result<EngineReport, FormatError>;
 }
--- a/crates/cometmoor-gateway/src/explain.rs
+++ b/crates/cometmoor-gateway/src/explain.rs
@@ -1,4 +1,4 @@
-//! The story of one request, from log lines of several nodes.
+//! Reconstructs the history of one request from the log lines of several nodes.
 
 use std::collections::HashMap;
 
@@ -16,87 +16,90 @@
     kv: Map<String, Value>,
 }
 
-/// What a node believed when it last told of it.
+/// The last log line of a node about a subject.
 #[derive(Clone, Debug)]
-struct Belief {
+struct KnownState {
     timestamp: u64,
     text: String,
 }
 
-/// Beliefs of one node by what they are about.
-type Beliefs = HashMap<String, Belief>;
+/// The state that a node knew, by subject.
+type NodeState = HashMap<String, KnownState>;
 
-/// The lines that tell of the request, in order, with the beliefs in force at
-/// each: the configuration, what was last told of the server concerned, and what that
-/// last reported of itself.
-/// Lines of other formats are passed over; what stands before a line's first
-/// brace is left out.
+/// Returns the log lines of the request in the order of time. Each is followed by the state that its
+/// node knew then: the last lines about the configuration, the store, the server concerned and the
+/// signals of that server. Lines of other formats are skipped, and text before the first brace of a
+/// line is ignored.
 pub fn explain(id: &str, text: &str) -> Vec<String> {
     let mut lines: Vec<Line> = text.lines().filter_map(parse).collect();
     lines.sort_by_key(|line| line.timestamp);
-    let mut beliefs: HashMap<String, Beliefs> = HashMap::new();
-    let mut story = Vec::new();
+    let mut states: HashMap<String, NodeState> = HashMap::new();
+    let mut history = Vec::new();
     for line in &lines {
-        let known = beliefs.entry(line.logger.clone()).or_default();
+        let known = states.entry(line.logger.clone()).or_default();
         if line.kv.get("request").and_then(Value::as_str) == Some(id) {
-            story.push(told(line));
-            story.extend(beliefs_of(line, known));
+            history.push(format_line(line));
+            history.extend(known_state_at(line, known));
         } else if let Some(subject) = subject(line) {
-            let text = told(line);
-            known.insert(subject, Belief { timestamp: line.timestamp, text });
+            let text = format_line(line);
+            known.insert(subject, KnownState { timestamp: line.timestamp, text });
         }
     }
-    story
+    history
 }
 
 fn parse(text: &str) -> Option<Line> {
-    let begin = text.find('{')?;
-    serde_json::from_str(&text[begin..]).ok()
+    let start = text.find('{')?;
+    serde_json::from_str(&text[start..]).ok()
 }
 
-/// What a line that tells no request is about.
+/// The subject of a line that does not belong to a request; `None` if it is not of interest.
 fn subject(line: &Line) -> Option<String> {
     if line.kv.contains_key("request") {
         return None;
     }
-    let part = line.payload.split(']').next()?.trim_start_matches('[');
+    let component = line.payload.split(']').next()?.trim_start_matches('[');
     if let Some(server) = line.kv.get("server").and_then(Value::as_str) {
-        return Some(if part == "signals" { signals_of(server) } else { server_of(server) });
+        return Some(if component == "signals" {
+            signals_subject(server)
+        } else {
+            server_subject(server)
+        });
     }
-    matches!(part, "configuration" | "store" | "leader" | "node").then(|| part.to_owned())
+    matches!(component, "configuration" | "store" | "leader" | "node").then(|| component.to_owned())
 }
 
-/// The subject of lines on what a server reports of itself.
-fn signals_of(server: &str) -> String {
+/// Subject of the lines about the signals that a server sends.
+fn signals_subject(server: &str) -> String {
     format!("signals {server}")
 }
 
-/// The subject of all other lines on a server.
-fn server_of(server: &str) -> String {
+/// Subject of all other lines about a server.
+fn server_subject(server: &str) -> String {
     format!("server {server}")
 }
 
-fn told(line: &Line) -> String {
+fn format_line(line: &Line) -> String {
     let fields: Vec<String> =
-        line.kv.iter().map(|(name, value)| format!("{name}={}", plain(value))).collect();
+        line.kv.iter().map(|(name, value)| format!("{name}={}", plain_text(value))).collect();
     format!("{} {} {} {}", line.timestamp, line.logger, line.payload, fields.join(" "))
 }
 
-fn plain(value: &Value) -> String {
+fn plain_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
 
-fn beliefs_of(line: &Line, known: &Beliefs) -> Vec<String> {
+fn known_state_at(line: &Line, known: &NodeState) -> Vec<String> {
     let server = line.kv.get("server").and_then(Value::as_str);
     let mut subjects = vec!["configuration".to_owned(), "store".to_owned()];
-    subjects.extend(server.map(server_of));
-    subjects.extend(server.map(signals_of));
+    subjects.extend(server.map(server_subject));
+    subjects.extend(server.map(signals_subject));
     subjects
         .into_iter()
         .filter_map(|subject| {
-            let belief = known.get(&subject)?;
-            let age = line.timestamp.saturating_sub(belief.timestamp);
-            Some(format!("    believed for {age} ms: {}", belief.text))
+            let state = known.get(&subject)?;
+            let age = line.timestamp.saturating_sub(state.timestamp);
+            Some(format!("    known for {age} ms: {}", state.text))
         })
         .collect()
 }
--- a/crates/cometmoor-gateway/src/frontend.rs
+++ b/crates/cometmoor-gateway/src/frontend.rs
@@ -1,4 +1,4 @@
-//! Clients' connections.
+//! Client connections: accepts them, reads requests, and responds or hands over to `forward`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,42 +23,42 @@
 use crate::load::{RequestDemand, model_key};
 use crate::published::{FleetSnapshot, Phase, age_millis};
 
-/// Pause after the listener failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Bytes of later requests that are kept while one is served.
+/// Delay before the next accept after one failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Maximum size of pipelined input that is buffered while a request is served, in bytes.
 const MAX_READ_AHEAD: usize = 64 << 10;
-/// When a client should come back where the node does not serve it.
-const COME_BACK: Duration = Duration::from_millis(500);
-/// When a client should come back that met a node without a configuration: the
-/// store may need as long as one call to it may take.
-const COME_BACK_TO_STARTING: Duration = Duration::from_millis(1000);
-/// When a client should come back to another node.
-const COME_BACK_ELSEWHERE: Duration = Duration::from_millis(20);
-/// Time for which what a rejected client still sends is read and dropped.
-const LINGER: Duration = Duration::from_millis(500);
-/// Bytes of a rejected client that are read and dropped.
+/// Retry delay if the node cannot serve the request now.
+const RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Retry delay while the node has no configuration: fetching it may take as long as the timeout of
+/// one call to the store.
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(1000);
+/// Retry delay if another node should serve the request.
+const OTHER_NODE_RETRY_AFTER: Duration = Duration::from_millis(20);
+/// Maximum time for which input is discarded after a request was rejected or refused.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum number of bytes that are discarded after a request was rejected or refused.
 const MAX_LINGER_BYTES: usize = 8 << 20;
 
-/// Takes clients' connections until the process ends.
+/// Accepts client connections until the process ends.
 pub async fn serve(listener: TcpListener, traffic: Rc<TrafficContext>) {
-    let connections = Rc::new(());
+    let connection_count = Rc::new(());
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            clock::sleep(ACCEPT_PAUSE).await;
+            clock::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if Rc::strong_count(&connections) > traffic.settings.max_connections {
-            warn!("[frontend] too many connections; one was closed", kv: { most = traffic.settings.max_connections as u64 });
+        if Rc::strong_count(&connection_count) > traffic.settings.max_connections {
+            warn!("[frontend] connection limit reached; closed a new connection", kv: { most = traffic.settings.max_connections as u64 });
             continue;
         }
         if set_socket_options(&stream).is_err() {
             continue;
         }
         let connection = Connection { stream, buffer: BytesMut::new(), traffic: traffic.clone() };
-        let held = connections.clone();
+        let guard = connection_count.clone();
         actix_rt::spawn(async move {
             connection.run().await;
-            drop(held);
+            drop(guard);
         });
     }
 }
@@ -69,21 +69,23 @@
     traffic: Rc<TrafficContext>,
 }
 
-/// A request that was read.
+/// A request that was read completely.
 struct Request {
     head: RequestHead,
     metadata: RequestMetadata,
     body: Bytes,
-    received: BootInstant,
+    received_at: BootInstant,
 }
 
-/// A request that was read, or why there is none.
-enum Read {
+/// Result of reading a request.
+enum ReadResult {
     Request(Box<Request>),
-    /// Its key is nobody's; the body was not read.
+    /// The key is missing, malformed or unknown; the body was not read.
     Unauthorized(Box<RequestHead>, RequestMetadata),
+    /// The request is invalid; the status code of the response.
     Rejected(u16),
-    Ended,
+    /// The client closed the connection, or the connection was idle for too long.
+    Closed,
 }
 
 impl Connection {
@@ -91,61 +93,63 @@
         loop {
             let limits = self.limits();
             match self.read_request(&limits).await {
-                Read::Request(request) => {
+                ReadResult::Request(request) => {
                     let guard = self.traffic.loads.add_in_progress();
-                    let finish = self.serve(*request).await;
+                    let action = self.serve(*request).await;
                     drop(guard);
-                    if finish != ConnectionAction::KeepAlive {
+                    if action != ConnectionAction::KeepAlive {
                         return;
                     }
                 }
-                Read::Unauthorized(head, metadata) => {
+                ReadResult::Unauthorized(head, metadata) => {
                     if self.refuse_unauthorized(&head, &metadata).await
                         != ConnectionAction::KeepAlive
                     {
                         return self.linger().await;
                     }
                 }
-                Read::Rejected(status) => return self.reject(status).await,
-                Read::Ended => return,
+                ReadResult::Rejected(status) => return self.reject(status).await,
+                ReadResult::Closed => return,
             }
         }
     }
 
     fn limits(&self) -> ClientLimits {
         let fleet = self.traffic.board.fleet.load();
-        fleet.configuration.as_ref().map(|known| known.limits).unwrap_or_default()
+        fleet.configuration.as_ref().map(|configuration| configuration.limits).unwrap_or_default()
     }
 
-    async fn read_request(&mut self, limits: &ClientLimits) -> Read {
+    async fn read_request(&mut self, limits: &ClientLimits) -> ReadResult {
         if self.buffer.is_empty() {
-            let first =
+            let first_read =
                 clock::timeout(limits.idle_timeout, read_some(&self.stream, &mut self.buffer));
-            if !matches!(first.await, Ok(Ok(read)) if read > 0) {
-                return Read::Ended;
+            if !matches!(first_read.await, Ok(Ok(read)) if read > 0) {
+                return ReadResult::Closed;
             }
         }
-        let received = clock::now();
+        let received_at = clock::now();
         let head = match clock::timeout(limits.header_timeout, self.read_head(limits)).await {
             Ok(Ok(Some(head))) => head,
-            Ok(Ok(None)) => return Read::Ended,
-            Ok(Err(HeadError::TooLarge)) => return Read::Rejected(431),
+            Ok(Ok(None)) => return ReadResult::Closed,
+            Ok(Err(HeadError::TooLarge)) => return ReadResult::Rejected(431),
             Ok(Err(HeadError::Malformed | HeadError::AmbiguousLength)) => {
-                return Read::Rejected(400);
+                return ReadResult::Rejected(400);
             }
-            Err(_) => return Read::Rejected(408),
+            Err(_) => return ReadResult::Rejected(408),
         };
         let Ok(metadata) = self.traffic.dialect.request_metadata(&head.headers) else {
-            return Read::Rejected(400);
+            return ReadResult::Rejected(400);
         };
         if is_unauthorized(&self.traffic, &head, &metadata) {
-            return Read::Unauthorized(Box::new(head), metadata);
+            return ReadResult::Unauthorized(Box::new(head), metadata);
         }
         match clock::timeout(limits.idle_timeout, self.read_body(&head, limits)).await {
-            Ok(Ok(body)) => Read::Request(Box::new(Request { head, metadata, body, received })),
-            Ok(Err(Some(status))) => Read::Rejected(status),
-            Ok(Err(None)) => Read::Ended,
-            Err(_) => Read::Rejected(408),
+            Ok(Ok(body)) => {
+                ReadResult::Request(Box::new(Request { head, metadata, body, received_at }))
+            }
+            Ok(Err(Some(status))) => ReadResult::Rejected(status),
+            Ok(Err(None)) => ReadResult::Closed,
+            Err(_) => ReadResult::Rejected(408),
         }
     }
 
@@ -160,8 +164,8 @@
         }
     }
 
-    /// Reads the body; an error is the status of the rejection, or none where
-    /// the client has left.
+    /// Reads the body. An error is the status code of the rejection, or `None` if the client closed
+    /// the connection.
     async fn read_body(
         &mut self,
         head: &RequestHead,
@@ -183,8 +187,8 @@
         let mut decoder = BodyDecoder::new(head.framing);
         let mut body = BytesMut::new();
         loop {
-            while let Some(piece) = decoder.next(&mut self.buffer).map_err(|_| Some(400))? {
-                body.extend_from_slice(&piece);
+            while let Some(data) = decoder.next(&mut self.buffer).map_err(|_| Some(400))? {
+                body.extend_from_slice(&data);
             }
             if body.len() > limits.max_body_bytes {
                 return Err(Some(413));
@@ -198,12 +202,13 @@
         }
     }
 
-    /// Serves a request unless the client leaves before.
+    /// Serves a request; aborts it if the client closes the connection before the response is
+    /// complete.
     async fn serve(&mut self, request: Request) -> ConnectionAction {
         let serving = serve_request(&self.traffic, &self.stream, request);
         tokio::select! {
             biased;
-            finish = serving => finish,
+            action = serving => action,
             () = wait_for_close(&self.stream, &mut self.buffer, MAX_READ_AHEAD) => {
                 self.traffic.metrics.ended("client_left", "client", "-");
                 ConnectionAction::Abort
@@ -214,15 +219,15 @@
     async fn reject(self, status: u16) {
         warn!("[frontend] a request was rejected", kv: { status, step = "read" });
         self.traffic.metrics.ended("rejected", "read", "bad input");
-        let answer = LocalResponse::rejected(status);
-        let bytes = answer.encode(&*self.traffic.dialect, "", false);
+        let response = LocalResponse::rejected(status);
+        let bytes = response.encode(&*self.traffic.dialect, "", false);
         if write_all(&self.stream, &bytes).await.is_ok() {
             self.linger().await;
         }
     }
 
-    /// Answers a request without a valid key, as cheaply as can be: a stranger may send
-    /// any number of them. The connection is kept where nothing was left unread.
+    /// Responds to a request without a valid key at the lowest cost, because an unauthenticated client
+    /// may send any number of them. The connection is kept open if no body was left unread.
     async fn refuse_unauthorized(
         &self,
         head: &RequestHead,
@@ -232,7 +237,7 @@
         if crate::log::allow_unauthorized_line() {
             warn!("[frontend] a request without a valid key was refused", kv: {
                 request = &*metadata.id,
-                key = key_form(&metadata.key),
+                key = key_presence(&metadata.key),
                 step = "key",
                 status = 401,
                 configuration = self.configuration_version(),
@@ -240,35 +245,43 @@
             });
         }
         let keep = head.keeps_connection() && head.framing == Framing::Empty;
-        answer(&self.traffic, &self.stream, LocalResponse::unauthorized(), &metadata.id, keep).await
+        send_response(
+            &self.traffic,
+            &self.stream,
+            LocalResponse::unauthorized(),
+            &metadata.id,
+            keep,
+        )
+        .await
     }
 
     fn configuration_version(&self) -> u64 {
         let fleet = self.traffic.board.fleet.load();
-        fleet.configuration.as_ref().map_or(0, |known| known.version)
+        fleet.configuration.as_ref().map_or(0, |configuration| configuration.version)
     }
 
-    /// Reads what a refused client still sends: closing with unread bytes would reset the
-    /// connection and could take the answer away from the client.
+    /// Discards what the client still sends, before the connection is closed. Closing it with unread
+    /// input would reset it, and the client could lose the response.
     async fn linger(mut self) {
-        let _ = clock::timeout(LINGER, self.drop_rest()).await;
+        let _ = clock::timeout(LINGER_TIMEOUT, self.discard_input()).await;
     }
 
-    async fn drop_rest(&mut self) {
-        let mut dropped = 0;
-        while dropped < MAX_LINGER_BYTES {
+    async fn discard_input(&mut self) {
+        let mut discarded = 0;
+        while discarded < MAX_LINGER_BYTES {
             self.buffer.clear();
             match read_some(&self.stream, &mut self.buffer).await {
-                Ok(read) if read > 0 => dropped += read,
+                Ok(read) if read > 0 => discarded += read,
                 _ => return,
             }
         }
     }
 }
 
-/// What to do with a request.
+/// How a request is handled.
 enum Decision {
-    Answer(LocalResponse),
+    Respond(LocalResponse),
+    /// Forward the request to the named service.
     Forward(Admitted, String),
 }
 
@@ -277,51 +290,59 @@
     client: &TcpStream,
     request: Request,
 ) -> ConnectionAction {
-    let Request { head, metadata, body, received } = request;
+    let Request { head, metadata, body, received_at } = request;
     let fleet = traffic.board.fleet.load_full();
     let keep = head.keeps_connection() && fleet.phase == Phase::Ready;
     match decide(&fleet, &head, &metadata) {
-        Decision::Answer(own) => {
-            let version = fleet.configuration.as_ref().map_or(0, |known| known.version);
+        Decision::Respond(response) => {
+            let version =
+                fleet.configuration.as_ref().map_or(0, |configuration| configuration.version);
             traffic.metrics.ended("refused", "route", "no route, no key or not ready");
-            warn!("[frontend] answered without a server", kv: {
+            warn!("[frontend] responded without forwarding the request", kv: {
                 request = &*metadata.id,
-                status = own.status(),
-                key = key_form(&metadata.key),
+                status = response.status(),
+                key = key_presence(&metadata.key),
                 phase = format!("{:?}", fleet.phase),
                 configuration = version,
                 proof_age_millis = age_millis(fleet.configuration_proven),
                 is_known_behind = fleet.is_known_behind,
             });
-            answer(traffic, client, own, &metadata.id, keep).await
+            send_response(traffic, client, response, &metadata.id, keep).await
         }
         Decision::Forward(admitted, service) => {
             record_demand(traffic, &metadata);
-            let forward =
-                ForwardedRequest::new(traffic, client, &head, &body, metadata, admitted, received);
+            let forward = ForwardedRequest::new(
+                traffic,
+                client,
+                &head,
+                &body,
+                metadata,
+                admitted,
+                received_at,
+            );
             forward.serve(&service).await
         }
     }
 }
 
-/// Notes what was asked for, for the placement of models.
+/// Records the demand for a model, on which the placement of models is based.
 fn record_demand(traffic: &TrafficContext, metadata: &RequestMetadata) {
     let Some(model) = &metadata.model else { return };
     let now = clock::now();
-    let work = {
+    let demand = {
         let latencies = traffic.latencies.borrow();
         RequestDemand {
             prefill: latencies.prefill_time(&model.model, metadata.prompt_tokens),
             slot_time: latencies.slot_time(&model.model, metadata.output_tokens),
         }
     };
-    traffic.loads.record_demand(model_key(&model.model, None), work, now);
+    traffic.loads.record_demand(model_key(&model.model, None), demand, now);
     if let Some(adapter) = &model.adapter {
-        traffic.loads.record_demand(model_key(&model.model, Some(adapter)), work, now);
+        traffic.loads.record_demand(model_key(&model.model, Some(adapter)), demand, now);
     }
 }
 
-/// Whether a request has a route that needs a key, and its key is nobody's.
+/// Whether the route of a request requires a key and the request has no valid one.
 fn is_unauthorized(
     traffic: &TrafficContext,
     head: &RequestHead,
@@ -335,25 +356,25 @@
 }
 
 fn decide(fleet: &FleetSnapshot, head: &RequestHead, metadata: &RequestMetadata) -> Decision {
-    let refusal = Decision::Answer(LocalResponse::not_run(COME_BACK));
+    let refusal = Decision::Respond(LocalResponse::not_run(RETRY_AFTER));
     let Some(configuration) = &fleet.configuration else {
-        return Decision::Answer(LocalResponse::not_run(COME_BACK_TO_STARTING));
+        return Decision::Respond(LocalResponse::not_run(STARTING_RETRY_AFTER));
     };
     if fleet.phase == Phase::Closing {
         return refusal;
     }
     let host = head.host().unwrap_or_default();
     let Some(route) = configuration.route(&host, head.path()) else {
-        let unknown = fleet.configuration_is_current();
-        return if unknown { Decision::Answer(LocalResponse::no_route()) } else { refusal };
+        let is_current = fleet.configuration_is_current();
+        return if is_current { Decision::Respond(LocalResponse::no_route()) } else { refusal };
     };
     let tenant = match check_access(fleet, route, metadata) {
         Access::Granted(tenant) => tenant,
-        Access::Denied => return Decision::Answer(LocalResponse::unauthorized()),
+        Access::Denied => return Decision::Respond(LocalResponse::unauthorized()),
         Access::Undecided => return refusal,
     };
-    if !finishes_in_time(fleet, route, metadata) {
-        return Decision::Answer(LocalResponse::not_run(COME_BACK_ELSEWHERE));
+    if !finishes_before_shutdown(fleet, route, metadata) {
+        return Decision::Respond(LocalResponse::not_run(OTHER_NODE_RETRY_AFTER));
     }
     match route.target(rand::random()) {
         Some(service) => {
@@ -363,8 +384,8 @@
     }
 }
 
-/// What came as a key, for log lines.
-fn key_form(key: &PresentedKey) -> &'static str {
+/// How the key was presented, for log lines.
+fn key_presence(key: &PresentedKey) -> &'static str {
     match key {
         PresentedKey::Missing => "missing",
         PresentedKey::Malformed => "malformed",
@@ -372,26 +393,30 @@
     }
 }
 
-/// Whether the request will be finished before a planned stop ends.
-fn finishes_in_time(fleet: &FleetSnapshot, route: &Route, metadata: &RequestMetadata) -> bool {
-    let Some(stop) = fleet.shutdown else { return true };
+/// Whether the request will finish before the deadline of a planned shutdown.
+fn finishes_before_shutdown(
+    fleet: &FleetSnapshot,
+    route: &Route,
+    metadata: &RequestMetadata,
+) -> bool {
+    let Some(shutdown) = fleet.shutdown else { return true };
     let now = clock::now();
     finishes_before_stop(
-        now.since(stop.started),
-        stop.deadline.since(now),
+        now.since(shutdown.started),
+        shutdown.deadline.since(now),
         route.timeout.min(metadata.deadline.unwrap_or(route.timeout)),
         metadata.output_tokens,
     )
 }
 
-async fn answer(
+async fn send_response(
     traffic: &TrafficContext,
     client: &TcpStream,
-    own: LocalResponse,
+    response: LocalResponse,
     request: &str,
     keep: bool,
 ) -> ConnectionAction {
-    let bytes = own.encode(&*traffic.dialect, request, keep);
+    let bytes = response.encode(&*traffic.dialect, request, keep);
     match write_all(client, &bytes).await {
         Ok(()) if keep => ConnectionAction::KeepAlive,
         Ok(()) => ConnectionAction::Close,
--- a/crates/cometmoor-gateway/src/http/body.rs
+++ b/crates/cometmoor-gateway/src/http/body.rs
@@ -1,15 +1,15 @@
-//! Bodies: taking them out of their framing.
+//! Decodes message bodies from their framing.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use super::head::Framing;
 
-/// Longest line with the size of a chunk, in bytes.
+/// Maximum length of a chunk size line, in bytes.
 const MAX_CHUNK_LINE: usize = 256;
-/// Most bytes of trailer lines.
+/// Maximum total size of the trailer lines, in bytes.
 const MAX_TRAILER_BYTES: usize = 8 << 10;
 
-/// The body does not follow the protocol.
+/// The body violates the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MalformedBody;
 
@@ -24,14 +24,14 @@
     Done,
 }
 
-/// Takes a body out of its framing, piece by piece.
+/// Incremental decoder for a message body.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     state: State,
 }
 
 impl BodyDecoder {
-    /// A decoder for a body that ends as told.
+    /// Creates a decoder for a body with the given framing.
     pub fn new(framing: Framing) -> BodyDecoder {
         let state = match framing {
             Framing::Empty => State::Done,
@@ -42,53 +42,55 @@
         BodyDecoder { state }
     }
 
-    /// Whether the whole body was taken.
+    /// Whether the whole body has been decoded.
     pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Whether a clean end of the connection ends the body.
+    /// Whether the body ends when the peer closes the connection cleanly.
     pub fn ends_with_connection(&self) -> bool {
         self.state == State::UntilClose
     }
 
-    /// Takes the next piece off the buffer; `None` where more bytes are
-    /// needed or the body is done.
+    /// Removes the next part of the body from the buffer. `None` if more input is needed or the
+    /// body is complete.
     pub fn next(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, MalformedBody> {
         loop {
             match self.state {
                 State::Done => return Ok(None),
                 State::UntilClose if buffer.is_empty() => return Ok(None),
                 State::UntilClose => return Ok(Some(buffer.split().freeze())),
-                State::Length(left) => {
-                    let Some(piece) = take_up_to(buffer, left) else { return Ok(None) };
-                    let left = left - piece.len() as u64;
-                    self.state = if left == 0 { State::Done } else { State::Length(left) };
-                    return Ok(Some(piece));
+                State::Length(remaining) => {
+                    let Some(data) = split_up_to(buffer, remaining) else { return Ok(None) };
+                    let remaining = remaining - data.len() as u64;
+                    self.state =
+                        if remaining == 0 { State::Done } else { State::Length(remaining) };
+                    return Ok(Some(data));
                 }
-                State::Chunk(left) => {
-                    let Some(piece) = take_up_to(buffer, left) else { return Ok(None) };
-                    let left = left - piece.len() as u64;
-                    self.state = if left == 0 { State::ChunkEnd } else { State::Chunk(left) };
-                    return Ok(Some(piece));
+                State::Chunk(remaining) => {
+                    let Some(data) = split_up_to(buffer, remaining) else { return Ok(None) };
+                    let remaining = remaining - data.len() as u64;
+                    self.state =
+                        if remaining == 0 { State::ChunkEnd } else { State::Chunk(remaining) };
+                    return Ok(Some(data));
                 }
                 State::ChunkSize => {
-                    let Some(line) = take_line(buffer, MAX_CHUNK_LINE)? else { return Ok(None) };
-                    self.state = match chunk_size(&line)? {
+                    let Some(line) = split_line(buffer, MAX_CHUNK_LINE)? else { return Ok(None) };
+                    self.state = match parse_chunk_size(&line)? {
                         0 => State::Trailers(0),
                         size => State::Chunk(size),
                     };
                 }
                 State::ChunkEnd => {
-                    let Some(line) = take_line(buffer, MAX_CHUNK_LINE)? else { return Ok(None) };
+                    let Some(line) = split_line(buffer, MAX_CHUNK_LINE)? else { return Ok(None) };
                     if !line.is_empty() {
                         return Err(MalformedBody);
                     }
                     self.state = State::ChunkSize;
                 }
                 State::Trailers(seen) => {
-                    let left = MAX_TRAILER_BYTES.saturating_sub(seen);
-                    let Some(line) = take_line(buffer, left)? else { return Ok(None) };
+                    let remaining = MAX_TRAILER_BYTES.saturating_sub(seen);
+                    let Some(line) = split_line(buffer, remaining)? else { return Ok(None) };
                     self.state = if line.is_empty() {
                         State::Done
                     } else {
@@ -100,16 +102,17 @@
     }
 }
 
-fn take_up_to(buffer: &mut BytesMut, most: u64) -> Option<Bytes> {
+fn split_up_to(buffer: &mut BytesMut, max_bytes: u64) -> Option<Bytes> {
     if buffer.is_empty() {
         return None;
     }
-    let length = buffer.len().min(usize::try_from(most).unwrap_or(usize::MAX));
+    let length = buffer.len().min(usize::try_from(max_bytes).unwrap_or(usize::MAX));
     Some(buffer.split_to(length).freeze())
 }
 
-/// Takes a line without its end; it has to end with CR LF.
-fn take_line(buffer: &mut BytesMut, max_bytes: usize) -> Result<Option<Bytes>, MalformedBody> {
+/// Removes a line from the buffer and returns it without its terminator, which must be CR LF.
+/// `None` if the line is incomplete.
+fn split_line(buffer: &mut BytesMut, max_bytes: usize) -> Result<Option<Bytes>, MalformedBody> {
     let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
         return if buffer.len() > max_bytes { Err(MalformedBody) } else { Ok(None) };
     };
@@ -121,11 +124,11 @@
     Ok(Some(line))
 }
 
-fn chunk_size(line: &[u8]) -> Result<u64, MalformedBody> {
+fn parse_chunk_size(line: &[u8]) -> Result<u64, MalformedBody> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let digits = digits.trim_ascii();
-    let hexadecimal = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
-    if !hexadecimal || digits.len() > 15 {
+    let is_hexadecimal = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
+    if !is_hexadecimal || digits.len() > 15 {
         return Err(MalformedBody);
     }
     let digits = std::str::from_utf8(digits).map_err(|_| MalformedBody)?;
--- a/crates/cometmoor-gateway/src/http/client.rs
+++ b/crates/cometmoor-gateway/src/http/client.rs
@@ -1,5 +1,5 @@
-//! Calls with a small body and a small answer: to the store, to servers'
-//! control paths and to other nodes. Nothing is repeated or redirected here.
+//! Client for calls with small requests and responses: to the store, to the control paths of
+//! servers and to other nodes. It neither retries calls nor follows redirects.
 
 use std::cell::RefCell;
 use std::io;
@@ -14,33 +14,33 @@
 use super::head::{ResponseHead, parse_response_head};
 use crate::clock;
 
-/// Largest head of an answer, in bytes.
+/// Maximum size of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 32 << 10;
-/// Largest body of an answer, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
-/// Connections that rest for later calls.
+/// Maximum number of idle connections that are kept for later calls.
 const MAX_IDLE: usize = 4;
 
-/// A call.
+/// Request of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Method.
+    /// HTTP method.
     pub method: &'static str,
-    /// Path and query.
+    /// Request target: path and query.
     pub target: String,
-    /// Header lines besides length and host.
+    /// Header lines besides `Host`, `Content-Type` and `Content-Length`.
     pub headers: Vec<(&'static str, String)>,
-    /// Body; its type is JSON.
+    /// Body, which is sent as JSON; `None` for no body.
     pub body: Option<Vec<u8>>,
 }
 
 impl Call {
-    /// A call without a body.
+    /// Creates a call without a body.
     pub fn new(method: &'static str, target: impl Into<String>) -> Call {
         Call { method, target: target.into(), headers: Vec::new(), body: None }
     }
 
-    /// The call with a body.
+    /// Sets the body.
     pub fn with_body(mut self, body: Vec<u8>) -> Call {
         self.body = Some(body);
         self
@@ -64,21 +64,21 @@
     }
 }
 
-/// An answer to a call.
+/// Response to a call.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Its head.
+    /// Head of the response.
     pub head: ResponseHead,
-    /// Its whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
-/// Why a call has no answer.
+/// Why a call has no response.
 #[derive(Debug)]
 pub enum CallError {
-    /// Nothing was sent.
+    /// No byte of the request was sent.
     NotSent(io::Error),
-    /// It was sent, and may have been carried out.
+    /// The request may have been sent, fully or in part, and may have been executed.
     NoResponse(io::Error),
 }
 
@@ -91,48 +91,48 @@
     }
 }
 
-/// A client of one address, with a few kept connections.
+/// Client for one address that keeps a few idle connections.
 pub struct CallClient {
     address: SocketAddrV4,
     idle: RefCell<Vec<TcpStream>>,
 }
 
 impl CallClient {
-    /// A client of the address.
+    /// Creates a client without connections.
     pub fn new(address: SocketAddrV4) -> CallClient {
         CallClient { address, idle: RefCell::new(Vec::new()) }
     }
 
-    /// The address.
+    /// Address that the client calls.
     pub fn address(&self) -> SocketAddrV4 {
         self.address
     }
 
-    /// Makes a call that has to be answered within the time.
-    pub async fn call(&self, call: &Call, within: Duration) -> Result<Response, CallError> {
-        self.call_if(call, within, || true).await
+    /// Makes a call. The timeout covers the connection and the complete response.
+    pub async fn call(&self, call: &Call, timeout: Duration) -> Result<Response, CallError> {
+        self.call_if(call, timeout, || true).await
     }
 
-    /// The same for a call that may only be made while something holds: it is
-    /// looked at when there is a connection, just before the first byte.
+    /// Like [`CallClient::call`], but sends the request only if `precondition` returns true. It is
+    /// evaluated once the connection is established, just before the first byte is sent.
     pub async fn call_if(
         &self,
         call: &Call,
-        within: Duration,
-        holds: impl Fn() -> bool,
+        timeout: Duration,
+        precondition: impl Fn() -> bool,
     ) -> Result<Response, CallError> {
         let started = clock::now();
-        let stream = self.checkout(within).await.map_err(CallError::NotSent)?;
-        if !holds() {
+        let stream = self.checkout(timeout).await.map_err(CallError::NotSent)?;
+        if !precondition() {
             return Err(CallError::NotSent(io::ErrorKind::Interrupted.into()));
         }
         let bytes = call.encode(self.address);
-        let left = within.saturating_sub(clock::elapsed(started));
+        let remaining = timeout.saturating_sub(clock::elapsed(started));
         let exchange = exchange(&stream, &bytes, call.method == "HEAD");
-        let (answer, reusable) = match clock::timeout(left, exchange).await {
+        let (response, reusable) = match clock::timeout(remaining, exchange).await {
             Ok(result) => result.map_err(CallError::NoResponse)?,
             Err(_) => {
-                // Those that rest may have gone silent with this one.
+                // The idle connections go to the same peer and may be dead too.
                 self.close_idle();
                 return Err(CallError::NoResponse(io::ErrorKind::TimedOut.into()));
             }
@@ -140,21 +140,21 @@
         if reusable && self.idle.borrow().len() < MAX_IDLE {
             self.idle.borrow_mut().push(stream);
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    /// Closes the connections that rest.
+    /// Closes the idle connections.
     pub fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    async fn checkout(&self, within: Duration) -> io::Result<TcpStream> {
+    async fn checkout(&self, timeout: Duration) -> io::Result<TcpStream> {
         while let Some(stream) = self.pop_idle() {
             if is_reusable(&stream) {
                 return Ok(stream);
             }
         }
-        connect(self.address, within).await
+        connect(self.address, timeout).await
     }
 
     fn pop_idle(&self) -> Option<TcpStream> {
@@ -182,8 +182,8 @@
     let mut decoder = BodyDecoder::new(head.framing);
     let mut body = Vec::new();
     loop {
-        while let Some(piece) = decoder.next(&mut buffer).map_err(|_| malformed())? {
-            body.extend_from_slice(&piece);
+        while let Some(data) = decoder.next(&mut buffer).map_err(|_| malformed())? {
+            body.extend_from_slice(&data);
         }
         if decoder.is_done() {
             break;
--- a/crates/cometmoor-gateway/src/http/connection.rs
+++ b/crates/cometmoor-gateway/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! Sockets: options, reading into a buffer, writing everything.
+//! TCP connections: socket options, buffered reads and complete writes.
 
 use std::io;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -10,40 +10,41 @@
 
 use crate::clock;
 
-/// Time after which sent bytes that nobody acknowledged end a connection.
+/// Time after which a connection is closed if sent bytes are not acknowledged (`TCP_USER_TIMEOUT`).
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Rest of a connection before it is probed, and the pause between probes.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an answer that end a connection.
-const PROBES: u32 = 2;
-/// Bytes that are read at once.
+/// Idle time before the first keepalive probe, and the interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered keepalive probes after which a connection is closed.
+const KEEPALIVE_PROBES: u32 = 2;
+/// Buffer space that is reserved for a read, in bytes.
 const READ_BYTES: usize = 16 << 10;
 
-/// Sets the options that every connection gets: no delay of small writes, and
-/// an end of those whose other side is silent.
+/// Sets the options that all connections have: no delay of small writes (`TCP_NODELAY`), and a
+/// timeout and keepalive probes that close a connection whose peer does not respond.
 pub fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     let socket = SockRef::from(stream);
     socket.set_tcp_nodelay(true)?;
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
-    let probes = TcpKeepalive::new()
-        .with_time(PROBE_INTERVAL)
-        .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBES);
-    socket.set_tcp_keepalive(&probes)
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
+    socket.set_tcp_keepalive(&keepalive)
 }
 
-/// Opens a connection within the time.
-pub async fn connect(address: SocketAddrV4, within: Duration) -> io::Result<TcpStream> {
-    let connecting = TcpStream::connect(SocketAddr::V4(address));
-    let stream = clock::timeout(within, connecting)
+/// Opens a connection and sets its options. Fails with `TimedOut` if it is not established in
+/// time.
+pub async fn connect(address: SocketAddrV4, timeout: Duration) -> io::Result<TcpStream> {
+    let connection = TcpStream::connect(SocketAddr::V4(address));
+    let stream = clock::timeout(timeout, connection)
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
     set_socket_options(&stream)?;
     Ok(stream)
 }
 
-/// Reads what is there into the buffer, and waits until there is something.
-/// Zero tells the clean end of the other side.
+/// Waits until there is input, and reads what is available into the buffer. Returns the number of
+/// bytes that were read; 0 if the peer closed its side of the connection cleanly.
 pub async fn read_some(stream: &TcpStream, buffer: &mut BytesMut) -> io::Result<usize> {
     loop {
         stream.readable().await?;
@@ -55,7 +56,7 @@
     }
 }
 
-/// Writes all bytes.
+/// Writes all bytes, and waits for buffer space where necessary.
 pub async fn write_all(stream: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match stream.try_write(bytes) {
@@ -68,11 +69,11 @@
     Ok(())
 }
 
-/// Waits until the other side has ended the connection, keeping up to
-/// `most_bytes` that it sends before.
-pub async fn wait_for_close(stream: &TcpStream, buffer: &mut BytesMut, most_bytes: usize) {
+/// Waits until the peer closes or resets the connection, and keeps the bytes that it sends before
+/// that. Once the buffer holds more than `max_bytes` it reads no more and never returns.
+pub async fn wait_for_close(stream: &TcpStream, buffer: &mut BytesMut, max_bytes: usize) {
     loop {
-        if buffer.len() > most_bytes {
+        if buffer.len() > max_bytes {
             return std::future::pending().await;
         }
         match read_some(stream, buffer).await {
@@ -82,7 +83,7 @@
     }
 }
 
-/// Whether a resting connection is still open and nothing was sent on it.
+/// Whether an idle connection is still open and has no unread input.
 pub fn is_reusable(stream: &TcpStream) -> bool {
     let mut byte = [0; 1];
     match stream.try_read(&mut byte) {
--- a/crates/cometmoor-gateway/src/http/head.rs
+++ b/crates/cometmoor-gateway/src/http/head.rs
@@ -1,12 +1,12 @@
-//! Heads of requests and answers.
+//! Heads of requests and responses: parsing, header fields and the framing of the body.
 
 use bytes::{Buf, BytesMut};
 
-/// Most header lines in a head.
+/// Maximum number of header lines in a head.
 const MAX_HEADERS: usize = 96;
 
-/// Headers that concern one connection only.
-const CONNECTION_HEADERS: [&str; 8] = [
+/// Hop-by-hop headers: they apply to one connection only and are not forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -17,63 +17,65 @@
     "upgrade",
 ];
 
-/// Why a head cannot be used.
+/// Why a head is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeadError {
-    /// It does not follow the protocol.
+    /// It violates the protocol.
     Malformed,
-    /// It is larger than allowed.
+    /// It exceeds the size limit, or a request has too many header lines.
     TooLarge,
-    /// Its body cannot be told from what follows.
+    /// The end of the body is ambiguous, so that it cannot be separated from what follows.
     AmbiguousLength,
 }
 
-/// How the end of a body is told.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// There is no body.
     Empty,
-    /// By its length in bytes.
+    /// By its length in bytes (`Content-Length`).
     Length(u64),
-    /// By a last chunk.
+    /// By the last chunk (`Transfer-Encoding: chunked`).
     Chunked,
-    /// By the end of the connection.
+    /// By the end of the connection (responses only).
     UntilClose,
 }
 
-/// Header lines in the order in which they came.
+/// Header lines in the order in which they were received.
 #[derive(Clone, Debug, Default)]
 pub struct Headers {
     lines: Vec<(String, Vec<u8>)>,
 }
 
 impl Headers {
-    /// The first value of a header, if it is text.
+    /// The first value of a header, trimmed; `None` if the header is missing or its value is not
+    /// UTF-8.
     pub fn get(&self, name: &str) -> Option<&str> {
-        let line = self.lines.iter().find(|(known, _)| known.eq_ignore_ascii_case(name))?;
+        let line = self.lines.iter().find(|(header, _)| header.eq_ignore_ascii_case(name))?;
         std::str::from_utf8(&line.1).ok().map(str::trim)
     }
 
-    /// Whether the header is there.
+    /// Whether the header is present.
     pub fn contains(&self, name: &str) -> bool {
-        self.lines.iter().any(|(known, _)| known.eq_ignore_ascii_case(name))
+        self.lines.iter().any(|(header, _)| header.eq_ignore_ascii_case(name))
     }
 
-    /// All values of a header.
+    /// All values of a header, trimmed, except those that are not UTF-8.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.lines
             .iter()
-            .filter(move |(known, _)| known.eq_ignore_ascii_case(name))
+            .filter(move |(header, _)| header.eq_ignore_ascii_case(name))
             .filter_map(|(_, value)| std::str::from_utf8(value).ok().map(str::trim))
     }
 
-    /// All values of a header, also those that are no text.
+    /// All values of a header as raw bytes, including those that are not UTF-8.
     pub fn all_bytes<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-        let named = self.lines.iter().filter(move |(known, _)| known.eq_ignore_ascii_case(name));
+        let named = self.lines.iter().filter(move |(header, _)| header.eq_ignore_ascii_case(name));
         named.map(|(_, value)| value.as_slice())
     }
 
-    /// Header lines that concern the message and not the connection.
+    /// The end-to-end header lines: all except hop-by-hop headers and those that the `Connection`
+    /// header names.
     pub fn end_to_end(&self) -> impl Iterator<Item = &(String, Vec<u8>)> {
         let named: Vec<String> = self
             .all("connection")
@@ -82,31 +84,31 @@
             .collect();
         self.lines.iter().filter(move |(name, _)| {
             let name = name.to_ascii_lowercase();
-            !CONNECTION_HEADERS.contains(&name.as_str()) && !named.contains(&name)
+            !HOP_BY_HOP_HEADERS.contains(&name.as_str()) && !named.contains(&name)
         })
     }
 
-    /// Whether a token stands in the `Connection` header.
-    pub fn connection_has(&self, token: &str) -> bool {
+    /// Whether the `Connection` header contains the option.
+    pub fn has_connection_option(&self, option: &str) -> bool {
         self.all("connection")
             .flat_map(|value| value.split(','))
-            .any(|known| known.trim().eq_ignore_ascii_case(token))
+            .any(|part| part.trim().eq_ignore_ascii_case(option))
     }
 
-    /// Seconds of the `timeout` in `Keep-Alive`.
+    /// The `timeout` parameter of `Keep-Alive` in seconds; `None` if it is missing or invalid.
     pub fn keep_alive_seconds(&self) -> Option<u64> {
         self.all("keep-alive")
             .flat_map(|value| value.split(','))
             .find_map(|part| part.trim().strip_prefix("timeout=")?.parse().ok())
     }
 
-    fn length(&self) -> Result<Option<u64>, HeadError> {
+    fn content_length(&self) -> Result<Option<u64>, HeadError> {
         let mut length = None;
         for value in self.all("content-length") {
-            let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
+            let is_number = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
             let parsed: u64 =
-                value.parse().ok().filter(|_| digits).ok_or(HeadError::AmbiguousLength)?;
-            if length.is_some_and(|known| known != parsed) {
+                value.parse().ok().filter(|_| is_number).ok_or(HeadError::AmbiguousLength)?;
+            if length.is_some_and(|previous| previous != parsed) {
                 return Err(HeadError::AmbiguousLength);
             }
             length = Some(parsed);
@@ -119,7 +121,7 @@
         Ok(length)
     }
 
-    fn chunked(&self) -> Result<bool, HeadError> {
+    fn is_chunked(&self) -> Result<bool, HeadError> {
         if !self.contains("transfer-encoding") {
             return Ok(false);
         }
@@ -131,23 +133,23 @@
     }
 }
 
-/// Head of a client's request.
+/// Head of a request.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// Method, as sent.
+    /// Method as received.
     pub method: String,
-    /// Target, as sent: path and query.
+    /// Request target as received: path and query.
     pub target: String,
-    /// Whether it is HTTP/1.1.
+    /// Whether the protocol version is HTTP/1.1, and not HTTP/1.0.
     pub is_http_1_1: bool,
     /// Header lines.
     pub headers: Headers,
-    /// How the body ends.
+    /// Framing of the body.
     pub framing: Framing,
 }
 
 impl RequestHead {
-    /// Host in lower case without a port.
+    /// Host in lower case and without its port.
     pub fn host(&self) -> Option<String> {
         let host = self.headers.get("host")?;
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
@@ -159,45 +161,45 @@
         self.target.split('?').next().unwrap_or("")
     }
 
-    /// Value of a parameter of the query, not decoded.
+    /// Value of a query parameter without percent-decoding; `None` if it is missing.
     pub fn query(&self, name: &str) -> Option<&str> {
         let (_, query) = self.target.split_once('?')?;
         query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
     }
 
-    /// Whether the client wants to keep the connection.
+    /// Whether the client keeps the connection open for further requests.
     pub fn keeps_connection(&self) -> bool {
-        self.is_http_1_1 && !self.headers.connection_has("close")
+        self.is_http_1_1 && !self.headers.has_connection_option("close")
     }
 }
 
-/// Head of a server's answer.
+/// Head of a response.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
     /// Status code.
     pub status: u16,
-    /// Words behind the status code.
+    /// Reason phrase.
     pub reason: String,
     /// Header lines.
     pub headers: Headers,
-    /// How the body ends.
+    /// Framing of the body.
     pub framing: Framing,
-    /// Whether the server keeps the connection.
+    /// Whether the server keeps the connection open for further requests.
     pub keeps_connection: bool,
 }
 
-fn owned(headers: &[httparse::Header<'_>]) -> Headers {
+fn to_headers(headers: &[httparse::Header<'_>]) -> Headers {
     let lines =
         headers.iter().map(|header| (header.name.to_owned(), header.value.to_vec())).collect();
     Headers { lines }
 }
 
-/// Takes the head of a request off the buffer; `None` until it is whole.
+/// Removes the head of a request from the buffer. `None` until the head is complete.
 pub fn parse_request_head(
     buffer: &mut BytesMut,
     max_bytes: usize,
 ) -> Result<Option<RequestHead>, HeadError> {
-    skip_blank_lines(buffer);
+    skip_empty_lines(buffer);
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut lines);
     let (length, head) = match request.parse(buffer) {
@@ -216,20 +218,20 @@
     Ok(Some(head))
 }
 
-fn skip_blank_lines(buffer: &mut BytesMut) {
+fn skip_empty_lines(buffer: &mut BytesMut) {
     while buffer.starts_with(b"\r\n") {
         buffer.advance(2);
     }
 }
 
 fn request_head(request: &httparse::Request<'_, '_>) -> Result<RequestHead, HeadError> {
-    let headers = owned(request.headers);
+    let headers = to_headers(request.headers);
     let is_http_1_1 = request.version == Some(1);
     let target = request.path.unwrap_or_default().to_owned();
     if !target.starts_with('/') || headers.all("host").count() != 1 {
         return Err(HeadError::Malformed);
     }
-    let framing = match (headers.chunked()?, headers.length()?) {
+    let framing = match (headers.is_chunked()?, headers.content_length()?) {
         (true, Some(_)) => return Err(HeadError::AmbiguousLength),
         (true, None) if !is_http_1_1 => return Err(HeadError::AmbiguousLength),
         (true, None) => Framing::Chunked,
@@ -240,8 +242,8 @@
     Ok(RequestHead { method, target, is_http_1_1, headers, framing })
 }
 
-/// Takes the head of an answer off the buffer; `None` until it is whole.
-/// Interim answers (1xx) are passed over.
+/// Removes the head of a response from the buffer. `None` until the head is complete. Interim
+/// responses (1xx) are skipped. The response to a `HEAD` request (`to_head_request`) has no body.
 pub fn parse_response_head(
     buffer: &mut BytesMut,
     max_bytes: usize,
@@ -256,7 +258,7 @@
             }
             Ok(httparse::Status::Partial) => return Ok(None),
             Ok(httparse::Status::Complete(length)) => {
-                (length, answer_head(&response, to_head_request)?)
+                (length, response_head(&response, to_head_request)?)
             }
             Err(_) => return Err(HeadError::Malformed),
         };
@@ -267,16 +269,16 @@
     }
 }
 
-fn answer_head(
+fn response_head(
     response: &httparse::Response<'_, '_>,
     to_head_request: bool,
 ) -> Result<ResponseHead, HeadError> {
-    let headers = owned(response.headers);
+    let headers = to_headers(response.headers);
     let status = response.code.unwrap_or_default();
-    let bodiless = to_head_request || status < 200 || status == 204 || status == 304;
-    let framing = match (headers.chunked()?, headers.length()?) {
+    let has_no_body = to_head_request || status < 200 || status == 204 || status == 304;
+    let framing = match (headers.is_chunked()?, headers.content_length()?) {
         (true, Some(_)) => return Err(HeadError::AmbiguousLength),
-        _ if bodiless => Framing::Empty,
+        _ if has_no_body => Framing::Empty,
         (true, None) => Framing::Chunked,
         (false, Some(0)) => Framing::Empty,
         (false, Some(length)) => Framing::Length(length),
@@ -284,7 +286,7 @@
     };
     let is_http_1_1 = response.version == Some(1);
     let keeps_connection =
-        is_http_1_1 && !headers.connection_has("close") && framing != Framing::UntilClose;
+        is_http_1_1 && !headers.has_connection_option("close") && framing != Framing::UntilClose;
     let reason = response.reason.unwrap_or_default().to_owned();
     Ok(ResponseHead { status, reason, headers, framing, keeps_connection })
 }
--- a/crates/cometmoor-gateway/src/http/mod.rs
+++ b/crates/cometmoor-gateway/src/http/mod.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 at the level of connections.
+//! HTTP/1.1 codec and connections.
 //!
-//! The gateway has to tell a request that was not sent from one that may have
-//! run, a reset end of an answer from a clean one, and surplus bytes behind an
-//! answer; `docs/design/gateway-http.md` tells why the codec stands here and
-//! not in a client or server library.
+//! The gateway has to distinguish a request that was not sent from one that may have run, and a
+//! response that ends with a connection reset from one that ends cleanly, and it has to detect
+//! surplus bytes after a response. `docs/design/gateway-http.md` explains why it therefore has its
+//! own codec instead of using a client or server library.
 
 pub mod body;
 pub mod client;
--- a/crates/cometmoor-gateway/src/http_server.rs
+++ b/crates/cometmoor-gateway/src/http_server.rs
@@ -1,5 +1,6 @@
-//! Small servers with answers that need no waiting: readiness, directory,
-//! peers, metrics.
+//! Minimal HTTP server for the readiness, directory, peer and metrics endpoints.
+//!
+//! It accepts requests without a body.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,32 +12,32 @@
 use crate::http::connection::{read_some, set_socket_options, write_all};
 use crate::http::head::{RequestHead, parse_request_head};
 
-/// Largest head of a request, in bytes.
+/// Maximum size of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Longest rest of a connection.
+/// Time without input after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause after the listener failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the next accept after one failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// An answer.
+/// A response with a short body.
 #[derive(Clone, Debug, Default)]
 pub struct SimpleResponse {
     /// Status code.
     pub status: u16,
-    /// Type of the body.
+    /// Media type of the body.
     pub content_type: &'static str,
-    /// Body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
 impl SimpleResponse {
-    /// An answer without a body.
+    /// Creates a response without a body.
     pub fn status(status: u16) -> SimpleResponse {
         SimpleResponse { status, content_type: "text/plain", body: Vec::new() }
     }
 
-    fn encode(&self, keeps: bool) -> Vec<u8> {
-        let connection = if keeps { "" } else { "Connection: close\r\n" };
+    fn encode(&self, keep_alive: bool) -> Vec<u8> {
+        let connection = if keep_alive { "" } else { "Connection: close\r\n" };
         let head = format!(
             "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\n{connection}\r\n",
             self.status,
@@ -50,7 +51,7 @@
     }
 }
 
-/// Words for a status code.
+/// Reason phrase of a status code.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -68,31 +69,31 @@
     }
 }
 
-/// Answers requests without a body until the process ends.
-pub async fn serve(listener: TcpListener, answer: Rc<dyn Fn(&RequestHead) -> SimpleResponse>) {
-    serve_async(listener, move |head: RequestHead| std::future::ready(answer(&head))).await;
+/// Serves requests until the process ends.
+pub async fn serve(listener: TcpListener, handler: Rc<dyn Fn(&RequestHead) -> SimpleResponse>) {
+    serve_async(listener, move |head: RequestHead| std::future::ready(handler(&head))).await;
 }
 
-/// The same with answers that have to be waited for.
-pub async fn serve_async<Answer, Answering>(listener: TcpListener, answer: Answer)
+/// Like [`serve`], with a handler that returns a future.
+pub async fn serve_async<Handler, ResponseFuture>(listener: TcpListener, handler: Handler)
 where
-    Answer: Fn(RequestHead) -> Answering + Clone + 'static,
-    Answering: Future<Output = SimpleResponse> + 'static,
+    Handler: Fn(RequestHead) -> ResponseFuture + Clone + 'static,
+    ResponseFuture: Future<Output = SimpleResponse> + 'static,
 {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                actix_rt::spawn(serve_connection(stream, answer.clone()));
+                actix_rt::spawn(serve_connection(stream, handler.clone()));
             }
-            Err(_) => clock::sleep(ACCEPT_PAUSE).await,
+            Err(_) => clock::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-async fn serve_connection<Answer, Answering>(stream: TcpStream, answer: Answer)
+async fn serve_connection<Handler, ResponseFuture>(stream: TcpStream, handler: Handler)
 where
-    Answer: Fn(RequestHead) -> Answering + 'static,
-    Answering: Future<Output = SimpleResponse> + 'static,
+    Handler: Fn(RequestHead) -> ResponseFuture + 'static,
+    ResponseFuture: Future<Output = SimpleResponse> + 'static,
 {
     if set_socket_options(&stream).is_err() {
         return;
@@ -114,9 +115,9 @@
                 return;
             }
         };
-        let keeps = head.keeps_connection();
-        let bytes = answer(head).await.encode(keeps);
-        if write_all(&stream, &bytes).await.is_err() || !keeps {
+        let keep_alive = head.keeps_connection();
+        let bytes = handler(head).await.encode(keep_alive);
+        if write_all(&stream, &bytes).await.is_err() || !keep_alive {
             return;
         }
     }
--- a/crates/cometmoor-gateway/src/log.rs
+++ b/crates/cometmoor-gateway/src/log.rs
@@ -1,8 +1,8 @@
-//! Log lines: one JSON object a line on standard output.
+//! Asynchronous logging: one JSON object per line on standard output.
 //!
-//! Lines go through a bounded queue to a thread of their own. When the queue is
-//! full, new lines are dropped and counted; nobody waits. Lines of requests that
-//! went well are kept to a number a second, so that failures find room.
+//! Lines pass through a bounded queue to a writer thread. If the queue is full, new lines are
+//! dropped and counted, and no caller blocks. The lines of successful requests are limited to a
+//! number per second, so that they don't displace those of failures.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -16,92 +16,93 @@
 
 use crate::clock;
 
-/// Lines that wait to be written.
+/// Capacity of the queue, in lines.
 const QUEUE_LINES: usize = 4096;
-/// Pause in which lines gather, so that many are written at once.
-const GATHER: Duration = Duration::from_millis(100);
-/// Bytes that are written at once, in whole lines: what a pipe takes unbroken.
-const MOST_AT_ONCE: usize = 4000;
-/// Lines a second of requests that went well.
-const GOOD_LINES_A_SECOND: u64 = 20;
-
-/// Lines a second of requests beyond their tenant's limit, of which there may be many times
-/// as many as within it.
-const OVER_LIMIT_LINES_A_SECOND: u64 = 10;
-/// Lines a second of requests without a valid key, of which a stranger may send any number.
-const UNAUTHORIZED_LINES_A_SECOND: u64 = 2;
+/// Time for which lines are collected, so that they are written in batches.
+const BATCH_DELAY: Duration = Duration::from_millis(100);
+/// Maximum size of a batch of whole lines, in bytes: what a pipe accepts in an atomic write.
+const MAX_BATCH_BYTES: usize = 4000;
+/// Maximum number of lines per second of successful requests.
+const SUCCESS_LINES_PER_SECOND: u64 = 20;
+
+/// Maximum number of lines per second of requests beyond their tenant's limit. There may be many
+/// times as many of them as of requests within it.
+const OVER_LIMIT_LINES_PER_SECOND: u64 = 10;
+/// Maximum number of lines per second of requests without a valid key, of which an unauthenticated
+/// client may send any number.
+const UNAUTHORIZED_LINES_PER_SECOND: u64 = 2;
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
-static GOOD: LineRate = LineRate::new(GOOD_LINES_A_SECOND);
-static OVER_LIMIT: LineRate = LineRate::new(OVER_LIMIT_LINES_A_SECOND);
-static UNAUTHORIZED: LineRate = LineRate::new(UNAUTHORIZED_LINES_A_SECOND);
+static SUCCESS: LineRateLimiter = LineRateLimiter::new(SUCCESS_LINES_PER_SECOND);
+static OVER_LIMIT: LineRateLimiter = LineRateLimiter::new(OVER_LIMIT_LINES_PER_SECOND);
+static UNAUTHORIZED: LineRateLimiter = LineRateLimiter::new(UNAUTHORIZED_LINES_PER_SECOND);
 
-/// Lets only so many lines of a kind pass in a second.
-struct LineRate {
-    most: u64,
+/// Limits the number of lines of a kind per second.
+struct LineRateLimiter {
+    max_per_second: u64,
     second: AtomicU64,
     in_second: AtomicU64,
-    skipped: AtomicU64,
+    suppressed: AtomicU64,
 }
 
-impl LineRate {
-    const fn new(most: u64) -> LineRate {
-        LineRate {
-            most,
+impl LineRateLimiter {
+    const fn new(max_per_second: u64) -> LineRateLimiter {
+        LineRateLimiter {
+            max_per_second,
             second: AtomicU64::new(0),
             in_second: AtomicU64::new(0),
-            skipped: AtomicU64::new(0),
+            suppressed: AtomicU64::new(0),
         }
     }
 
-    fn may_pass(&self) -> bool {
+    fn allow(&self) -> bool {
         let second = clock::timestamp().0 / 1000;
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.in_second.store(0, Ordering::Relaxed);
         }
-        let passes = self.in_second.fetch_add(1, Ordering::Relaxed) < self.most;
-        if !passes {
-            self.skipped.fetch_add(1, Ordering::Relaxed);
+        let allowed = self.in_second.fetch_add(1, Ordering::Relaxed) < self.max_per_second;
+        if !allowed {
+            self.suppressed.fetch_add(1, Ordering::Relaxed);
         }
-        passes
+        allowed
     }
 }
 
-/// Lines that were dropped because the reader was too slow.
+/// Number of lines that were dropped because the queue was full.
 pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Lines of good requests that were left out.
+/// Number of lines of successful requests that the rate limit suppressed.
 pub fn suppressed_lines() -> u64 {
-    GOOD.skipped.load(Ordering::Relaxed)
+    SUCCESS.suppressed.load(Ordering::Relaxed)
 }
 
-/// Whether a line of a request that goes well may be written now.
+/// Whether the rate limit allows a line of a successful request now. Counts the line.
 pub fn allow_success_line() -> bool {
-    GOOD.may_pass()
+    SUCCESS.allow()
 }
 
-/// Whether a line of a request beyond its tenant's limit may be written now.
+/// Whether the rate limit allows a line of a request beyond its tenant's limit now. Counts the line.
 pub fn allow_over_limit_line() -> bool {
-    OVER_LIMIT.may_pass()
+    OVER_LIMIT.allow()
 }
 
-/// Whether a line of a request without a valid key may be written now.
+/// Whether the rate limit allows a line of a request without a valid key now. Counts the line.
 pub fn allow_unauthorized_line() -> bool {
-    UNAUTHORIZED.may_pass()
+    UNAUTHORIZED.allow()
 }
 
-/// Sends log lines of this level and above to standard output, with the node's
-/// name in each.
+/// Sends log lines of this level and above to standard output. The node's name is the logger of
+/// each line.
 pub fn init(node: &str, level: spdlog::Level) {
     if let Some(logger) = build_logger(node, level, io::stdout()) {
         spdlog::set_default_logger(Arc::new(logger));
     }
 }
 
-/// A logger whose lines go through a bounded queue to a thread of their own,
-/// which writes them to the output.
+/// Builds a logger whose lines pass through a bounded queue to a thread that writes them to the
+/// output. `None` if the thread cannot be started or the logger is invalid.
 pub fn build_logger(
     node: &str,
     level: spdlog::Level,
@@ -109,7 +110,7 @@
 ) -> Option<Logger> {
     let (sender, receiver) = sync_channel(QUEUE_LINES);
     let thread = std::thread::Builder::new().name("log".to_owned());
-    thread.spawn(move || write_lines(&receiver, output)).ok()?;
+    thread.spawn(move || run_writer(&receiver, output)).ok()?;
     let writer = QueueWriter { sender };
     let sink =
         WriteSink::builder().formatter(JsonFormatter::new()).target(writer).build_arc().ok()?;
@@ -121,7 +122,7 @@
         .ok()
 }
 
-/// Puts each line into the queue, or counts it as dropped.
+/// Enqueues each line, or counts it as dropped if the queue is full.
 struct QueueWriter {
     sender: SyncSender<Vec<u8>>,
 }
@@ -139,26 +140,26 @@
     }
 }
 
-fn write_lines(receiver: &Receiver<Vec<u8>>, mut output: impl Write) {
-    while let Ok(mut lines) = receiver.recv() {
-        std::thread::sleep(GATHER);
+fn run_writer(receiver: &Receiver<Vec<u8>>, mut output: impl Write) {
+    while let Ok(mut batch) = receiver.recv() {
+        std::thread::sleep(BATCH_DELAY);
         while let Ok(line) = receiver.try_recv() {
-            if lines.len() + line.len() > MOST_AT_ONCE {
-                write_out(&lines, &mut output);
-                lines.clear();
+            if batch.len() + line.len() > MAX_BATCH_BYTES {
+                write_batch(&batch, &mut output);
+                batch.clear();
             }
-            lines.extend_from_slice(&line);
+            batch.extend_from_slice(&line);
         }
-        write_out(&lines, &mut output);
+        write_batch(&batch, &mut output);
     }
 }
 
-fn write_out(lines: &[u8], output: &mut impl Write) {
-    // Nobody can be told that the output is gone.
-    let _ = output.write_all(lines).and_then(|()| output.flush());
+fn write_batch(batch: &[u8], output: &mut impl Write) {
+    // There is nowhere to report that the output is closed.
+    let _ = output.write_all(batch).and_then(|()| output.flush());
 }
 
-/// Gives the last lines time to be written.
+/// Waits long enough for the writer thread to write the last lines.
 pub fn flush() {
-    std::thread::sleep(GATHER * 2);
+    std::thread::sleep(BATCH_DELAY * 2);
 }
--- a/crates/cometmoor-gateway/tests/client.rs
+++ b/crates/cometmoor-gateway/tests/client.rs
@@ -1,4 +1,4 @@
-//! Calls that may only be made while something holds.
+//! Calls that are sent only if a precondition holds.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
@@ -6,12 +6,13 @@
 
 use cometmoor_gateway::http::client::{Call, CallClient, CallError};
 
-const WAIT: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Grown sakhon-wash, trouble-2: a leader on a slow machine had lost its lease
-/// between its plan and the connection to a server, and sent the order.
+/// Guards against an order of a leader that has lost its lease: on a slow machine the lease ended
+/// after the order was planned and before the connection to the server was open, and the order was
+/// still sent.
 #[test]
-fn a_call_is_not_made_when_what_allows_it_has_ended_meanwhile() {
+fn call_is_not_sent_if_its_precondition_no_longer_holds() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!() };
     let server = std::thread::spawn(move || {
@@ -21,7 +22,7 @@
         bytes
     });
     let result = actix_rt::System::new().block_on(async {
-        CallClient::new(address).call_if(&Call::new("POST", "/order"), WAIT, || false).await
+        CallClient::new(address).call_if(&Call::new("POST", "/order"), TIMEOUT, || false).await
     });
     assert!(matches!(result, Err(CallError::NotSent(_))), "{result:?}");
     assert_eq!(server.join().unwrap(), Vec::<u8>::new());
--- a/crates/cometmoor-gateway/tests/directory.rs
+++ b/crates/cometmoor-gateway/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Which nodes clients are told to use.
+//! Node addresses that the directory returns to clients.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -18,31 +18,31 @@
 }
 
 #[test]
-fn a_small_fleet_is_told_whole_and_near_nodes_first() {
+fn small_fleet_is_returned_completely_with_local_nodes_first() {
     let nodes = fleet(9);
-    let told = addresses(&nodes, Some("zone-1"));
-    assert_eq!(told.len(), 9);
-    assert_eq!(told[0], nodes[1].address);
-    assert_eq!(told[1], nodes[7].address);
+    let selected = addresses(&nodes, Some("zone-1"));
+    assert_eq!(selected.len(), 9);
+    assert_eq!(selected[0], nodes[1].address);
+    assert_eq!(selected[1], nodes[7].address);
 }
 
 #[test]
-fn zones_of_a_large_fleet_share_the_far_nodes() {
+fn remote_nodes_of_a_large_fleet_are_spread_over_its_zones() {
     let nodes = fleet(300);
-    let mut told: HashMap<SocketAddrV4, usize> = HashMap::new();
+    let mut zones_by_node: HashMap<SocketAddrV4, usize> = HashMap::new();
     for zone in 0..ZONES {
-        let answer = addresses(&nodes, Some(&format!("zone-{zone}")));
-        assert_eq!(answer.len(), 64);
-        for address in answer {
-            *told.entry(address).or_default() += 1;
+        let selected = addresses(&nodes, Some(&format!("zone-{zone}")));
+        assert_eq!(selected.len(), 64);
+        for address in selected {
+            *zones_by_node.entry(address).or_default() += 1;
         }
     }
-    assert_eq!(told.len(), 300, "every node is told to its own zone");
-    assert!(told.values().all(|zones| *zones <= 4), "a node that is told to most zones");
+    assert_eq!(zones_by_node.len(), 300, "every node is returned to its own zone");
+    assert!(zones_by_node.values().all(|zones| *zones <= 4), "a node is returned to most zones");
 }
 
 #[test]
-fn the_loss_of_a_node_changes_one_address_at_most() {
+fn loss_of_a_node_changes_at_most_one_address() {
     let mut nodes = fleet(300);
     let before = addresses(&nodes, Some("zone-2"));
     nodes.remove(100);
--- a/crates/cometmoor-gateway/tests/explain.rs
+++ b/crates/cometmoor-gateway/tests/explain.rs
@@ -1,4 +1,4 @@
-//! From a request's identifier to its story, over the log lines of two nodes.
+//! The history of a request from the log lines of two nodes.
 
 use cometmoor_gateway::explain::explain;
 
@@ -14,18 +14,18 @@
 "#;
 
 #[test]
-fn the_lines_of_a_request_come_in_order_with_what_its_node_believed() {
-    let story = explain("abc", LINES);
+fn lines_of_a_request_are_in_order_of_time_with_the_state_that_its_node_knew() {
+    let history = explain("abc", LINES);
     let expected = [
         "1400 node-1 [forward] sent request=abc server=i-1",
-        "    believed for 400 ms: 1000 node-1 [configuration] version 4 is in force version=4",
-        "    believed for 100 ms: 1300 node-1 [servers] a server is known server=i-1",
-        "    believed for 50 ms: 1350 node-1 [signals] a server names a limit from=node-2 per_second=2.0 server=i-1 source=peer",
+        "    known for 400 ms: 1000 node-1 [configuration] version 4 is in force version=4",
+        "    known for 100 ms: 1300 node-1 [servers] a server is known server=i-1",
+        "    known for 50 ms: 1350 node-1 [signals] a server names a limit from=node-2 per_second=2.0 server=i-1 source=peer",
         "1500 node-1 [forward] failed reason=reset request=abc server=i-1",
-        "    believed for 500 ms: 1000 node-1 [configuration] version 4 is in force version=4",
-        "    believed for 200 ms: 1300 node-1 [servers] a server is known server=i-1",
-        "    believed for 150 ms: 1350 node-1 [signals] a server names a limit from=node-2 per_second=2.0 server=i-1 source=peer",
+        "    known for 500 ms: 1000 node-1 [configuration] version 4 is in force version=4",
+        "    known for 200 ms: 1300 node-1 [servers] a server is known server=i-1",
+        "    known for 150 ms: 1350 node-1 [signals] a server names a limit from=node-2 per_second=2.0 server=i-1 source=peer",
     ];
-    assert_eq!(story, expected);
+    assert_eq!(history, expected);
     assert!(explain("unknown", LINES).is_empty());
 }
--- a/crates/cometmoor-gateway/tests/log.rs
+++ b/crates/cometmoor-gateway/tests/log.rs
@@ -1,4 +1,4 @@
-//! Log lines never hold anybody up.
+//! Logging never blocks its callers.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, channel};
@@ -9,14 +9,14 @@
 /// More lines than the queue holds.
 const LINES: u64 = 20_000;
 
-/// An output whose reader reads nothing until the test is over.
-struct Unread {
-    over: Receiver<()>,
+/// An output whose writes block until the test ends.
+struct BlockedOutput {
+    test_end: Receiver<()>,
 }
 
-impl Write for Unread {
+impl Write for BlockedOutput {
     fn write(&mut self, _: &[u8]) -> io::Result<usize> {
-        let _ = self.over.recv();
+        let _ = self.test_end.recv();
         Err(io::ErrorKind::BrokenPipe.into())
     }
 
@@ -26,13 +26,14 @@
 }
 
 #[test]
-fn a_reader_that_never_reads_stops_nobody_and_drops_are_counted() {
-    let (over, unread) = channel();
-    let logger = build_logger("node-1", spdlog::Level::Info, Unread { over: unread }).unwrap();
+fn blocked_output_does_not_block_callers_and_dropped_lines_are_counted() {
+    let (test_end, blocked) = channel();
+    let logger =
+        build_logger("node-1", spdlog::Level::Info, BlockedOutput { test_end: blocked }).unwrap();
     for number in 0..LINES {
         info!(logger: logger, "[test] a line", kv: { number });
     }
-    // All lines were given up by now, so that this point was reached at all.
+    // This point is reached only if none of the calls has blocked.
     assert!(dropped_lines() > LINES / 2, "{} of {LINES} lines were dropped", dropped_lines());
-    drop(over);
+    drop(test_end);
 }
