--- a/crates/cometmoor-gateway/src/dialect.rs
+++ b/crates/cometmoor-gateway/src/dialect.rs
@@ -144,8 +144,8 @@
     pub request_id: Option<&'a str>,
     /// Whether the server states that it did not run the request.
     pub not_run: bool,
-    /// Whether the request was intended for another incarnation, or for a model that the server does
-    /// not have.
+    /// Whether the request was intended for another incarnation, or for a model that the server
+    /// does not have.
     pub misdirected: bool,
     /// Load of the server; `None` if it reports none.
     pub load: Option<ReportedLoad>,
@@ -303,13 +303,13 @@
     fn directory_path(&self) -> &str;
     /// Zone of the client that a directory request names.
     fn directory_zone<'a>(&self, head: &'a crate::http::head::RequestHead) -> Option<&'a str>;
-    /// Encodes the body of a directory response; `lifetime` is how long clients may use the addresses.
+    /// Encodes the body of a directory response. Clients may use the addresses for `lifetime`.
     fn directory_response(&self, addresses: &[SocketAddrV4], lifetime: Duration) -> Vec<u8>;
 
     /// Parses the headers of a client's request.
     fn request_metadata(&self, headers: &Headers) -> Result<RequestMetadata, FormatError>;
-    /// Whether only the gateway sets this header, so that the client's is not forwarded. `resumes` is
-    /// true if the request resumes a stream.
+    /// Whether only the gateway sets this header, so that the client's is not forwarded. `resumes`
+    /// is true if the request resumes a stream.
     fn overrides_header(&self, name: &str, resumes: bool) -> bool;
     /// Headers that are sent to the server with a request.
     fn send_headers(&self, metadata: &SendMetadata<'_>) -> Vec<(&'static str, String)>;
--- a/crates/cometmoor-gateway/src/frontend.rs
+++ b/crates/cometmoor-gateway/src/frontend.rs
@@ -80,11 +80,11 @@
 /// Result of reading a request.
 enum ReadResult {
     Request(Box<Request>),
-    /// The key is missing, malformed or unknown; the body was not read.
+    /// The request has no valid key; the body was not read.
     Unauthorized(Box<RequestHead>, RequestMetadata),
-    /// The request is invalid; the status code of the response.
+    /// The request is malformed, too large or was not received in time; the status code.
     Rejected(u16),
-    /// The client closed the connection, or the connection was idle for too long.
+    /// The client closed the connection, or sent no request within the idle timeout.
     Closed,
 }
 
@@ -226,8 +226,8 @@
         }
     }
 
-    /// Responds to a request without a valid key at the lowest cost, because an unauthenticated client
-    /// may send any number of them. The connection is kept open if no body was left unread.
+    /// Responds to a request without a valid key at the lowest cost, because an unauthenticated
+    /// client may send any number of them. The connection is kept open if no body was left unread.
     async fn refuse_unauthorized(
         &self,
         head: &RequestHead,
@@ -260,8 +260,8 @@
         fleet.configuration.as_ref().map_or(0, |configuration| configuration.version)
     }
 
-    /// Discards what the client still sends, before the connection is closed. Closing it with unread
-    /// input would reset it, and the client could lose the response.
+    /// Discards what the client still sends before the connection is closed. Closing it with
+    /// unread input would reset it, and the client could lose the response.
     async fn linger(mut self) {
         let _ = clock::timeout(LINGER_TIMEOUT, self.discard_input()).await;
     }
--- a/crates/cometmoor-gateway/src/latency.rs
+++ b/crates/cometmoor-gateway/src/latency.rs
@@ -75,8 +75,8 @@
         Duration::from_secs_f64(estimate.millis_per_output_token * output_tokens as f64 / 1000.0)
     }
 
-    /// Records the duration of a complete stream from its first event. `output_tokens` is the number
-    /// of tokens that the request allows.
+    /// Records the duration of a complete stream from its first event. `output_tokens` is the
+    /// number of tokens that the request allows.
     pub fn record_generation(&mut self, model: &str, output_tokens: u64, duration: Duration) {
         if output_tokens == 0 {
             return;
--- a/crates/cometmoor-gateway/src/log.rs
+++ b/crates/cometmoor-gateway/src/log.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Number of lines that were dropped because the queue was full.
+/// Number of lines that were dropped because the output was read too slowly and the queue was full.
 pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
@@ -83,7 +83,8 @@
     SUCCESS.allow()
 }
 
-/// Whether the rate limit allows a line of a request beyond its tenant's limit now. Counts the line.
+/// Whether the rate limit allows a line of a request beyond its tenant's limit now. Counts the
+/// line.
 pub fn allow_over_limit_line() -> bool {
     OVER_LIMIT.allow()
 }
