--- a/crates/cometmoor-gateway/src/frontend.rs
+++ b/crates/cometmoor-gateway/src/frontend.rs
@@ -210,7 +210,7 @@
             biased;
             action = serving => action,
             () = wait_for_close(&self.stream, &mut self.buffer, MAX_READ_AHEAD) => {
-                self.traffic.metrics.ended("client_left", "client", "-");
+                self.traffic.metrics.record_outcome("client_left", "client", "-");
                 ConnectionAction::Abort
             }
         }
@@ -218,7 +218,7 @@
 
     async fn reject(self, status: u16) {
         warn!("[frontend] a request was rejected", kv: { status, step = "read" });
-        self.traffic.metrics.ended("rejected", "read", "bad input");
+        self.traffic.metrics.record_outcome("rejected", "read", "bad input");
         let response = LocalResponse::rejected(status);
         let bytes = response.encode(&*self.traffic.dialect, "", false);
         if write_all(&self.stream, &bytes).await.is_ok() {
@@ -233,7 +233,7 @@
         head: &RequestHead,
         metadata: &RequestMetadata,
     ) -> ConnectionAction {
-        self.traffic.metrics.ended("refused", "key", "no valid key");
+        self.traffic.metrics.record_outcome("refused", "key", "no valid key");
         if crate::log::allow_unauthorized_line() {
             warn!("[frontend] a request without a valid key was refused", kv: {
                 request = &*metadata.id,
@@ -297,7 +297,7 @@
         Decision::Respond(response) => {
             let version =
                 fleet.configuration.as_ref().map_or(0, |configuration| configuration.version);
-            traffic.metrics.ended("refused", "route", "no route, no key or not ready");
+            traffic.metrics.record_outcome("refused", "route", "no route, no key or not ready");
             warn!("[frontend] responded without forwarding the request", kv: {
                 request = &*metadata.id,
                 status = response.status(),
