--- a/crates/cometmoor-gateway/tests/client.rs
+++ b/crates/cometmoor-gateway/tests/client.rs
@@ -1,4 +1,4 @@
-//! Calls that are sent only if a condition still holds.
+//! Calls that are sent only if a precondition holds.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
@@ -8,10 +8,11 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A leader on a slow machine lost its lease after it had made its plan and before the connection
-/// to a server was open, and still sent the order.
+/// Guards against an order of a leader that has lost its lease: on a slow machine the lease ended
+/// after the order was planned and before the connection to the server was open, and the order was
+/// still sent.
 #[test]
-fn a_call_is_not_sent_if_its_condition_no_longer_holds() {
+fn call_is_not_sent_if_its_precondition_no_longer_holds() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!() };
     let server = std::thread::spawn(move || {
--- a/crates/cometmoor-gateway/tests/directory.rs
+++ b/crates/cometmoor-gateway/tests/directory.rs
@@ -18,22 +18,22 @@
 }
 
 #[test]
-fn a_small_fleet_is_returned_completely_with_nodes_of_the_zone_first() {
+fn small_fleet_is_returned_completely_with_local_nodes_first() {
     let nodes = fleet(9);
-    let returned = addresses(&nodes, Some("zone-1"));
-    assert_eq!(returned.len(), 9);
-    assert_eq!(returned[0], nodes[1].address);
-    assert_eq!(returned[1], nodes[7].address);
+    let selected = addresses(&nodes, Some("zone-1"));
+    assert_eq!(selected.len(), 9);
+    assert_eq!(selected[0], nodes[1].address);
+    assert_eq!(selected[1], nodes[7].address);
 }
 
 #[test]
-fn zones_of_a_large_fleet_get_different_nodes_of_other_zones() {
+fn remote_nodes_of_a_large_fleet_are_spread_over_its_zones() {
     let nodes = fleet(300);
     let mut zones_by_node: HashMap<SocketAddrV4, usize> = HashMap::new();
     for zone in 0..ZONES {
-        let returned = addresses(&nodes, Some(&format!("zone-{zone}")));
-        assert_eq!(returned.len(), 64);
-        for address in returned {
+        let selected = addresses(&nodes, Some(&format!("zone-{zone}")));
+        assert_eq!(selected.len(), 64);
+        for address in selected {
             *zones_by_node.entry(address).or_default() += 1;
         }
     }
@@ -42,11 +42,11 @@
 }
 
 #[test]
-fn removing_a_node_changes_at_most_one_address() {
+fn loss_of_a_node_changes_at_most_one_address() {
     let mut nodes = fleet(300);
     let before = addresses(&nodes, Some("zone-2"));
     nodes.remove(100);
     let after = addresses(&nodes, Some("zone-2"));
-    let removed = before.iter().filter(|address| !after.contains(address)).count();
-    assert!(removed <= 1, "{removed} addresses changed");
+    let lost = before.iter().filter(|address| !after.contains(address)).count();
+    assert!(lost <= 1, "{lost} addresses changed");
 }
--- a/crates/cometmoor-gateway/tests/log.rs
+++ b/crates/cometmoor-gateway/tests/log.rs
@@ -1,4 +1,4 @@
-//! Writing a log line never blocks the caller.
+//! Logging never blocks its callers.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, channel};
@@ -6,10 +6,10 @@
 use cometmoor_gateway::log::{build_logger, dropped_lines};
 use spdlog::info;
 
-/// Number of lines, which is more than the queue holds.
+/// More lines than the queue holds.
 const LINES: u64 = 20_000;
 
-/// An output that blocks in its first write until the test ends.
+/// An output whose writes block until the test ends.
 struct BlockedOutput {
     test_end: Receiver<()>,
 }
@@ -26,13 +26,14 @@
 }
 
 #[test]
-fn a_blocked_output_does_not_block_callers_and_dropped_lines_are_counted() {
-    let (test_running, test_end) = channel();
-    let logger = build_logger("node-1", spdlog::Level::Info, BlockedOutput { test_end }).unwrap();
+fn blocked_output_does_not_block_callers_and_dropped_lines_are_counted() {
+    let (test_end, blocked) = channel();
+    let logger =
+        build_logger("node-1", spdlog::Level::Info, BlockedOutput { test_end: blocked }).unwrap();
     for number in 0..LINES {
         info!(logger: logger, "[test] a line", kv: { number });
     }
-    // The output is still blocked here, so that no line has waited for it.
+    // This point is reached only if none of the calls has blocked.
     assert!(dropped_lines() > LINES / 2, "{} of {LINES} lines were dropped", dropped_lines());
-    drop(test_running);
+    drop(test_end);
 }
