--- a/crates/cometmoor/src/control/configuration.rs
+++ b/crates/cometmoor/src/control/configuration.rs
@@ -54,13 +54,13 @@
 /// Offers newer state, from wherever it comes.
 #[derive(Message)]
 #[rtype(result = "Applied")]
-pub struct Offer(pub Update);
+pub struct ApplyUpdate(pub Update);
 
-impl Handler<Offer> for ConfigurationActor {
-    type Result = MessageResult<Offer>;
+impl Handler<ApplyUpdate> for ConfigurationActor {
+    type Result = MessageResult<ApplyUpdate>;
 
-    fn handle(&mut self, offer: Offer, _: &mut Context<Self>) -> Self::Result {
-        let applied = self.configuration.apply(offer.0);
+    fn handle(&mut self, message: ApplyUpdate, _: &mut Context<Self>) -> Self::Result {
+        let applied = self.configuration.apply(message.0);
         if applied == Applied::Advanced {
             self.publish();
         }
@@ -71,13 +71,13 @@
 /// Asks what a peer at a generation lacks.
 #[derive(Message)]
 #[rtype(result = "Option<Update>")]
-pub struct UpdateAfter(pub u64);
+pub struct UpdateSince(pub u64);
 
-impl Handler<UpdateAfter> for ConfigurationActor {
-    type Result = MessageResult<UpdateAfter>;
+impl Handler<UpdateSince> for ConfigurationActor {
+    type Result = MessageResult<UpdateSince>;
 
-    fn handle(&mut self, after: UpdateAfter, _: &mut Context<Self>) -> Self::Result {
-        MessageResult(self.configuration.update_since(after.0))
+    fn handle(&mut self, since: UpdateSince, _: &mut Context<Self>) -> Self::Result {
+        MessageResult(self.configuration.update_since(since.0))
     }
 }
 
@@ -85,12 +85,12 @@
 /// ago.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct NoteStoreRead(pub Duration);
+pub struct RecordStoreRead(pub Duration);
 
-impl Handler<NoteStoreRead> for ConfigurationActor {
+impl Handler<RecordStoreRead> for ConfigurationActor {
     type Result = ();
 
-    fn handle(&mut self, read: NoteStoreRead, _: &mut Context<Self>) {
+    fn handle(&mut self, read: RecordStoreRead, _: &mut Context<Self>) {
         let age = u64::try_from(read.0.as_millis()).unwrap_or(u64::MAX);
         let at = self.context.clock.now().0.checked_sub(age).map(Timestamp);
         self.newest_store_read = self.newest_store_read.max(at);
--- a/crates/cometmoor/src/control/membership.rs
+++ b/crates/cometmoor/src/control/membership.rs
@@ -16,7 +16,7 @@
 use futures::future::join_all;
 use spdlog::{debug, info, warn};
 
-use super::configuration::{ConfigurationActor, NoteStoreRead, Offer, StoreReadAge};
+use super::configuration::{ApplyUpdate, ConfigurationActor, RecordStoreRead, StoreReadAge};
 use crate::context::{NodeContext, own_member};
 use crate::peer::PeerError;
 use crate::peer::client::PeerClient;
@@ -235,7 +235,7 @@
         changes.iter().for_each(log_change);
         self.membership.record_contact(&name, now);
         if let Some(age) = digest.store_read_age {
-            self.configuration.do_send(NoteStoreRead(age));
+            self.configuration.do_send(RecordStoreRead(age));
         }
         let behind = digest.generation > self.context.published.load().generation;
         if let Some(peer_address) = peer_address.filter(|_| behind && !self.pulling) {
@@ -251,7 +251,7 @@
         let after = self.context.published.load().generation;
         let pull = async move {
             match peers.pull_configuration(address, after, PULL_TIMEOUT).await {
-                Ok(Some(update)) => configuration.do_send(Offer(update)),
+                Ok(Some(update)) => configuration.do_send(ApplyUpdate(update)),
                 Ok(None) => {}
                 Err(error) => warn!("{} pulling from {address} failed: {error}", Part::Peer),
             }
--- a/crates/cometmoor/src/control/relay.rs
+++ b/crates/cometmoor/src/control/relay.rs
@@ -17,7 +17,7 @@
 use rand::Rng;
 use spdlog::warn;
 
-use super::configuration::{ConfigurationActor, NoteStoreRead, Offer};
+use super::configuration::{ApplyUpdate, ConfigurationActor, RecordStoreRead};
 use crate::context::NodeContext;
 use crate::settings::millis;
 use crate::store::layout::Layout;
@@ -240,10 +240,10 @@
     }
 
     fn note_read(&self) {
-        self.configuration.do_send(NoteStoreRead(Duration::ZERO));
+        self.configuration.do_send(RecordStoreRead(Duration::ZERO));
     }
 
     async fn offer(&self, update: Update) -> Applied {
-        self.configuration.send(Offer(update)).await.unwrap_or(Applied::NothingNew)
+        self.configuration.send(ApplyUpdate(update)).await.unwrap_or(Applied::NothingNew)
     }
 }
--- a/crates/cometmoor/src/operator/api.rs
+++ b/crates/cometmoor/src/operator/api.rs
@@ -16,7 +16,7 @@
 use super::error::{store_error, write_error};
 use super::state::OperatorState;
 use super::status::{node_status, view};
-use crate::control::configuration::Offer;
+use crate::control::configuration::ApplyUpdate;
 use crate::control::writer::{
     Accepted, ChangeRequest, KnownConfiguration, find_change, write_change,
 };
@@ -188,7 +188,7 @@
     let update =
         Update::Changes { base: accepted.generation.saturating_sub(1), changes: vec![change] };
     // The actor ends only with the process.
-    let _ = state.configuration.send(Offer(update)).await;
+    let _ = state.configuration.send(ApplyUpdate(update)).await;
 }
 
 /// `GET /api/v1/changes/{id}`: what became of a change.
--- a/crates/cometmoor/src/operator/watch.rs
+++ b/crates/cometmoor/src/operator/watch.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::state::OperatorState;
-use crate::control::configuration::{ConfigurationActor, UpdateAfter};
+use crate::control::configuration::{ConfigurationActor, UpdateSince};
 use crate::traffic::error::RequestError;
 
 /// Query of a watch.
@@ -75,7 +75,7 @@
     async fn next(&mut self) -> Option<Bytes> {
         let after = self.after;
         self.generations.wait_for(|generation| *generation > after).await.ok()?;
-        let update = self.configuration.send(UpdateAfter(after)).await.ok()??;
+        let update = self.configuration.send(UpdateSince(after)).await.ok()??;
         let lines = lines_of(update);
         self.after = lines.iter().map(WatchLine::generation).max().unwrap_or(after);
         let texts = lines.iter().filter_map(|line| serde_json::to_string(line).ok());
--- a/crates/cometmoor/src/peer/server.rs
+++ b/crates/cometmoor/src/peer/server.rs
@@ -16,7 +16,7 @@
 use super::convert::{read_digest, read_table, write_digest, write_update};
 use super::counting::Counting;
 use crate::context::NodeContext;
-use crate::control::configuration::{ConfigurationActor, UpdateAfter};
+use crate::control::configuration::{ConfigurationActor, UpdateSince};
 use crate::control::membership::{AnnounceAdopted, Exchange, MembershipActor, Probe};
 use crate::telemetry::log::Part;
 
@@ -128,7 +128,7 @@
         mut results: session::PullConfigurationResults,
     ) -> Result<(), capnp::Error> {
         let after = params.get()?.get_after_generation();
-        let update = self.handlers.configuration.send(UpdateAfter(after)).await.map_err(stopped)?;
+        let update = self.handlers.configuration.send(UpdateSince(after)).await.map_err(stopped)?;
         match update {
             Some(update) => write_update(&update, results.get().init_update()),
             None => Ok(()),
