--- a/crates/cometmoor/src/control/planner/mod.rs
+++ b/crates/cometmoor/src/control/planner/mod.rs
@@ -66,12 +66,8 @@
             OrderError::Engine(error) => write!(formatter, "{error}"),
             OrderError::Store(error) => write!(formatter, "{error}"),
             OrderError::Outdated => formatter.write_str("another planner has taken over"),
-            OrderError::Ledger(error) => {
-                write!(formatter, "the ledger rejected the order: {error:?}")
-            }
-            OrderError::Record(error) => {
-                write!(formatter, "the order record rejected the order: {error:?}")
-            }
+            OrderError::Ledger(error) => write!(formatter, "the ledger rejected it: {error:?}"),
+            OrderError::Record(error) => write!(formatter, "the record rejected it: {error:?}"),
         }
     }
 }
@@ -137,9 +133,7 @@
                 match PlannerRole::acquire(&*self.store, &self.layout, node, lease).await {
                     Ok(Some(role)) => self.run_term(role).await,
                     Ok(None) => {}
-                    Err(error) => {
-                        warn!("{} acquiring the planner role failed: {error}", Part::Planner)
-                    }
+                    Err(error) => warn!("{} acquiring the role failed: {error}", Part::Planner),
                 }
             }
             let jitter = rand::random_range(0.5..1.0);
