--- a/crates/cometmoor-gateway/src/control/campaign.rs
+++ b/crates/cometmoor-gateway/src/control/campaign.rs
@@ -68,7 +68,9 @@
     let fleet = leader.context().board.fleet.load();
     fleet.phase == Phase::Ready
         && fleet.reads_store
-        && fleet.leader_heard.is_none_or(|heard| clock::elapsed(heard) > LEADER_TIMEOUT)
+        && fleet
+            .leader_last_heard_at
+            .is_none_or(|last_heard_at| clock::elapsed(last_heard_at) > LEADER_TIMEOUT)
 }
 
 /// Reads the leadership keys and, if this node may become the leader, writes them under a new
--- a/crates/cometmoor-gateway/src/control/fleet/messages.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/messages.rs
@@ -176,7 +176,7 @@
         if !leads && self.peers.leads(heartbeat.peer_address) {
             // It reports itself that it no longer leads, so that a new leader does not have to
             // wait until it has been silent for long enough.
-            self.leader_heard = None;
+            self.leader_last_heard_at = None;
         }
         let change = receive(&mut self.peers, heartbeat, now);
         if leads {
--- a/crates/cometmoor-gateway/src/control/fleet/mod.rs
+++ b/crates/cometmoor-gateway/src/control/fleet/mod.rs
@@ -86,7 +86,7 @@
     demand: FleetDemandMeter,
     traffic_logged: Timestamp,
     placement: Option<Placement>,
-    leader_heard: Option<BootInstant>,
+    leader_last_heard_at: Option<BootInstant>,
     shutdown: Option<ShutdownTimes>,
     sequence: u64,
     generation: u64,
@@ -125,7 +125,7 @@
             demand: FleetDemandMeter::default(),
             traffic_logged: Timestamp(0),
             placement: None,
-            leader_heard: None,
+            leader_last_heard_at: None,
             shutdown: None,
             sequence: 0,
             generation: 0,
@@ -232,7 +232,7 @@
             reads_store: self.is_reader(StorePrefix::Servers),
             is_large_fleet: !self.peers.is_small_fleet(),
             leads: self.placement.is_some(),
-            leader_heard: self.leader_heard,
+            leader_last_heard_at: self.leader_last_heard_at,
             shutdown: self.shutdown,
             recent_nodes: self.peers.recent_peer_count(now) + 1,
             live_nodes: self.peers.members().len() + 1,
@@ -376,7 +376,7 @@
         let reported = self.peers.placement(now);
         let own = self.placement.as_ref().map(|placement| (placement, now));
         if let Some((_, at)) = reported.into_iter().chain(own).max_by_key(|(_, at)| *at) {
-            self.leader_heard = self.leader_heard.max(boot_instant(at));
+            self.leader_last_heard_at = self.leader_last_heard_at.max(boot_instant(at));
         }
         let known = reported.into_iter().chain(own).map(|(placement, _)| placement);
         let newest = known.max_by_key(|placement| placement.version());
--- a/crates/cometmoor-gateway/src/membership/mod.rs
+++ b/crates/cometmoor-gateway/src/membership/mod.rs
@@ -188,8 +188,8 @@
         }
         // A node's own heartbeats take precedence over digests, and so does their absence if
         // the node sends them here.
-        for (address, heard) in self.direct.last_heard() {
-            let is_silent = now.since(heard) > SUSPECT_AFTER;
+        for (address, last_heard_at) in self.direct.last_heard_at() {
+            let is_silent = now.since(last_heard_at) > SUSPECT_AFTER;
             if is_silent
                 && self.hub.has_subscriber(address, now)
                 && !self.is_listed_by_hubs(address, now)
@@ -358,7 +358,7 @@
         let alive = self.zone_digests.values().flat_map(|received| received.alive(now));
         for received in alive.filter(|received| !self.uses_heartbeats_of(&received.digest.zone)) {
             let known = latest.entry(&received.digest.zone).or_insert(received);
-            if received.heard > known.heard {
+            if received.last_heard_at > known.last_heard_at {
                 *known = received;
             }
         }
--- a/crates/cometmoor-gateway/src/membership/peers.rs
+++ b/crates/cometmoor-gateway/src/membership/peers.rs
@@ -50,13 +50,13 @@
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub(super) heartbeat: Heartbeat,
-    pub(super) heard: Timestamp,
+    pub(super) last_heard_at: Timestamp,
     rank: Rank,
 }
 
 impl Peer {
     pub(super) fn is_alive(&self, now: Timestamp) -> bool {
-        now.since(self.heard) <= SUSPECT_AFTER
+        now.since(self.last_heard_at) <= SUSPECT_AFTER
     }
 
     /// The entry that digests include for it.
@@ -117,7 +117,7 @@
         if let Some(peer) = known.filter(|peer| is_same_process(&peer.heartbeat, &heartbeat)) {
             heartbeat.loads = heartbeat.loads.or_else(|| peer.heartbeat.loads.clone());
         }
-        self.peers.insert(address, Peer { heartbeat, heard: now, rank });
+        self.peers.insert(address, Peer { heartbeat, last_heard_at: now, rank });
         change
     }
 
@@ -135,12 +135,12 @@
     }
 
     /// All nodes that are not forgotten, and when they were last heard.
-    pub(super) fn last_heard(&self) -> impl Iterator<Item = (SocketAddrV4, Timestamp)> {
-        self.peers.iter().map(|(address, peer)| (*address, peer.heard))
+    pub(super) fn last_heard_at(&self) -> impl Iterator<Item = (SocketAddrV4, Timestamp)> {
+        self.peers.iter().map(|(address, peer)| (*address, peer.last_heard_at))
     }
 
     pub(super) fn expire(&mut self, now: Timestamp) {
-        self.peers.retain(|_, peer| now.since(peer.heard) < FORGET_AFTER);
+        self.peers.retain(|_, peer| now.since(peer.last_heard_at) < FORGET_AFTER);
     }
 }
 
--- a/crates/cometmoor-gateway/src/membership/received_digests.rs
+++ b/crates/cometmoor-gateway/src/membership/received_digests.rs
@@ -26,16 +26,16 @@
     members: BTreeMap<SocketAddrV4, Member>,
     /// Version of the hub's roster to which `members` corresponds; 0 if none was received.
     roster_version: u64,
-    pub(super) heard: Timestamp,
+    pub(super) last_heard_at: Timestamp,
     /// When the hub was first heard.
-    first_heard: Timestamp,
+    first_heard_at: Timestamp,
     /// When a digest of the hub last included the servers' load.
     loads_received: Option<Timestamp>,
 }
 
 impl ReceivedDigest {
     pub(super) fn is_alive(&self, now: Timestamp) -> bool {
-        now.since(self.heard) <= HUB_SUSPECT_AFTER
+        now.since(self.last_heard_at) <= HUB_SUSPECT_AFTER
     }
 }
 
@@ -56,7 +56,7 @@
         }
         let is_same_process =
             |known: &ReceivedDigest| known.digest.incarnation == digest.incarnation;
-        let first_heard = known.as_ref().map_or(now, |known| known.first_heard);
+        let first_heard_at = known.as_ref().map_or(now, |known| known.first_heard_at);
         let (mut members, mut roster_version, loads, mut loads_received) = match known {
             Some(known) if is_same_process(&known) => {
                 (known.members, known.roster_version, known.digest.loads, known.loads_received)
@@ -80,8 +80,8 @@
                 digest,
                 members,
                 roster_version,
-                heard: now,
-                first_heard,
+                last_heard_at: now,
+                first_heard_at,
                 loads_received,
             },
         );
@@ -97,8 +97,8 @@
     }
 
     /// When a hub was last heard.
-    pub(super) fn last_heard(&self, hub: SocketAddrV4) -> Option<Timestamp> {
-        self.hubs.get(&hub).map(|received| received.heard)
+    pub(super) fn last_heard_at(&self, hub: SocketAddrV4) -> Option<Timestamp> {
+        self.hubs.get(&hub).map(|received| received.last_heard_at)
     }
 
     /// Hubs that were heard recently.
@@ -113,7 +113,7 @@
 
     /// Drops digests that are older than [`DIGEST_RETENTION`].
     pub(super) fn expire(&mut self, now: Timestamp) {
-        self.hubs.retain(|_, received| now.since(received.heard) <= DIGEST_RETENTION);
+        self.hubs.retain(|_, received| now.since(received.last_heard_at) <= DIGEST_RETENTION);
     }
 
     /// Digests of hubs that were heard recently.
@@ -132,11 +132,12 @@
     /// some of the nodes at first, and if more nodes have died together, they have to be
     /// dropped soon.
     pub(super) fn members(&self, now: Timestamp) -> impl Iterator<Item = &Member> {
-        let settled =
-            self.alive(now).filter(|received| now.since(received.first_heard) >= HUB_SETTLING_TIME);
+        let settled = self
+            .alive(now)
+            .filter(|received| now.since(received.first_heard_at) >= HUB_SETTLING_TIME);
         let most = settled.map(|received| received.members.len()).max().unwrap_or_default();
         let is_valid = move |received: &&ReceivedDigest| {
-            let is_retained = now.since(received.heard) <= DIGEST_RETENTION
+            let is_retained = now.since(received.last_heard_at) <= DIGEST_RETENTION
                 && 2 * received.members.len() > 3 * most;
             received.is_alive(now) || is_retained
         };
--- a/crates/cometmoor-gateway/src/membership/upstream_hubs.rs
+++ b/crates/cometmoor-gateway/src/membership/upstream_hubs.rs
@@ -44,8 +44,9 @@
     /// Marks the hubs that have sent no digest for longer than [`SUSPECT_AFTER`].
     pub(super) fn update_unresponsive(&mut self, received: &ReceivedDigests, now: Timestamp) {
         for (hub, since) in &self.requested_since {
-            let heard = received.last_heard(*hub).map_or(*since, |heard| heard.max(*since));
-            if now.since(heard) > SUSPECT_AFTER {
+            let last_heard_at =
+                received.last_heard_at(*hub).map_or(*since, |heard_at| heard_at.max(*since));
+            if now.since(last_heard_at) > SUSPECT_AFTER {
                 self.unresponsive.insert(*hub);
             }
         }
--- a/crates/cometmoor-gateway/src/published.rs
+++ b/crates/cometmoor-gateway/src/published.rs
@@ -82,7 +82,7 @@
     /// Whether this node is leader.
     pub leads: bool,
     /// When the leader was last heard; `None` if never, or after it has stepped down.
-    pub leader_heard: Option<BootInstant>,
+    pub leader_last_heard_at: Option<BootInstant>,
     /// Times of the shutdown; `None` until it starts.
     pub shutdown: Option<ShutdownTimes>,
     /// Number of nodes that were seen recently, including this one, among which budgets are
