--- a/crates/cometmoor-core/src/gateway/admission.rs
+++ b/crates/cometmoor-core/src/gateway/admission.rs
@@ -46,13 +46,13 @@
 }
 
 /// Limits a retry delay of `ready_in` to a third of the client's remaining time, because a
-/// client that is told to come back later than that is unlikely to do so.
+/// client that is told to retry later than that is unlikely to do so.
 pub fn cap_retry_after(ready_in: Duration, time_left: Duration) -> Duration {
     ready_in.min(time_left / RETRY_AFTER_DIVISOR)
 }
 
 /// Time that is allowed for each requested output token. Nearly all streams end within it: of
-/// 14,415 streams in seven scenario runs, nine took longer (628 with 16 ms). The estimate is
+/// 14,415 streams on seven simulated days, nine took longer (628 with 16 ms). The estimate is
 /// high on purpose: a refused client is served by another node a moment later, while a client
 /// whose stream is cut off loses its answer.
 const PER_OUTPUT_TOKEN: Duration = Duration::from_millis(60);
--- a/crates/cometmoor-core/src/gateway/selection.rs
+++ b/crates/cometmoor-core/src/gateway/selection.rs
@@ -77,7 +77,7 @@
 }
 
 /// Share of the event interval limit that servers may spend on prefill; the rest is for
-/// generating the tokens of one event. In scenario runs, the mean score of one deployment of
+/// generating the tokens of one event. On simulated days, the mean score of one deployment of
 /// three drops by 0.01 with 0.6; with 0.85 that of none does.
 const PREFILL_SHARE_OF_INTERVAL: f64 = 0.85;
 
--- a/crates/cometmoor-core/src/reconcile.rs
+++ b/crates/cometmoor-core/src/reconcile.rs
@@ -156,7 +156,7 @@
         self.orders
     }
 
-    /// UnloadPlanner a base after its adapters, if enough ready copies remain.
+    /// Unloads a base after its adapters, if enough ready copies remain.
     fn try_unload_base(&mut self, engine: &str, state: &'a EngineState, base: &'a Artifact) {
         let ready = !state.inventory.leaving && state.is_ready(base);
         if !self.may_unload(engine, base, ready) {
--- a/crates/cometmoor-core/tests/gateway_limits.rs
+++ b/crates/cometmoor-core/tests/gateway_limits.rs
@@ -56,7 +56,7 @@
 
 /// A stream was cut 7.8 s after the stop signal. It was accepted 3.5 s after the signal, with 4.1 s
 /// left and when clients had long been told to use other nodes. At 16 ms for each of its 90 tokens
-/// it was expected to take 2.0 s, but it took 4.3 s. Of 14,415 streams of seven scenario runs, 628
+/// it was expected to take 2.0 s, but it took 4.3 s. Of 14,415 streams of seven simulated days, 628
 /// took longer than such an estimate, and nine longer than 60 ms a token.
 #[test]
 fn a_stopping_node_rejects_late_streams_that_a_busy_server_may_delay() {
--- a/crates/cometmoor-gateway/src/fingerprint.rs
+++ b/crates/cometmoor-gateway/src/fingerprint.rs
@@ -10,7 +10,7 @@
 const CALLER_HEADERS: [&str; 2] = ["authorization", "cookie"];
 
 /// Computes the fingerprint of a request from its method, host, path with query, caller and
-/// body. Headers that a caller sets anew for each attempt, such as the identifier, the time left
+/// body. Headers that a caller sets for each attempt, such as the identifier, the time left
 /// or an estimate of the response length, are not included.
 pub fn fingerprint(head: &RequestHead, body: &[u8]) -> Fingerprint {
     let mut hash = Xxh3::new();
--- a/crates/cometmoor-gateway/src/forward/crash_check.rs
+++ b/crates/cometmoor-gateway/src/forward/crash_check.rs
@@ -1,7 +1,7 @@
 //! Detects server crashes and records the requests that were in flight.
 //!
 //! A connection can be lost for many reasons; a server that refuses a new connection right
-//! afterwards has crashed. Its registry entry expires only 2.6 to 3.4 s later (scenario run),
+//! afterwards has crashed. Its registry entry expires only 2.6 to 3.4 s later (simulated day),
 //! by when the same request may have crashed three more servers.
 
 use std::io;
--- a/crates/cometmoor-gateway/src/membership/mod.rs
+++ b/crates/cometmoor-gateway/src/membership/mod.rs
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Drops expired state and determines anew which nodes are alive.
+    /// Drops expired state and determines again which nodes are alive.
     pub fn tick(&mut self, now: Timestamp) {
         self.direct.expire(now);
         self.announcement.expire(now);
--- a/crates/cometmoor-gateway/src/store.rs
+++ b/crates/cometmoor-gateway/src/store.rs
@@ -200,7 +200,7 @@
     }
 
     /// Renews a lease. Returns false if it has ended, which includes that its era has: in another
-    /// era, the same identifier may belong to a lease of somebody else.
+    /// era, the same identifier may belong to a lease of another node.
     pub async fn renew_lease(&self, lease: StoreLease) -> Result<bool, StoreError> {
         if lease.era < self.eras.newest() {
             return Ok(false);
