--- a/crates/cometmoor/src/control/configuration.rs
+++ b/crates/cometmoor/src/control/configuration.rs
@@ -1,4 +1,5 @@
-//! Holds the configuration in force and the proof that it is current.
+//! The actor that holds the configuration in force and the time of the newest
+//! store read, by which its freshness is judged.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,17 +14,19 @@
 use crate::context::NodeContext;
 use crate::telemetry::log::Part;
 
-/// Owner of the configuration in force.
+/// Owns the configuration in force and publishes each new generation of it.
 pub struct ConfigurationActor {
     context: Arc<NodeContext>,
     configuration: Configuration,
+    /// Time of the newest store read known, by this node or a peer; none before
+    /// the first.
     newest_store_read: Option<Timestamp>,
     generation_sender: watch::Sender<u64>,
 }
 
 impl ConfigurationActor {
-    /// An actor without a configuration. Each generation that comes into
-    /// force is also sent to `generation_sender`.
+    /// Starts with an empty configuration. Each generation that comes into force
+    /// is also sent to `generation_sender`.
     pub fn new(context: Arc<NodeContext>, generation_sender: watch::Sender<u64>) -> Self {
         ConfigurationActor {
             context,
@@ -51,7 +54,8 @@
     type Context = Context<Self>;
 }
 
-/// Offers newer state, from wherever it comes.
+/// Applies an update from the store, a peer or an operator's change. An update
+/// with nothing newer is ignored.
 #[derive(Message)]
 #[rtype(result = "Applied")]
 pub struct ApplyUpdate(pub Update);
@@ -59,8 +63,8 @@
 impl Handler<ApplyUpdate> for ConfigurationActor {
     type Result = MessageResult<ApplyUpdate>;
 
-    fn handle(&mut self, message: ApplyUpdate, _: &mut Context<Self>) -> Self::Result {
-        let applied = self.configuration.apply(message.0);
+    fn handle(&mut self, update: ApplyUpdate, _: &mut Context<Self>) -> Self::Result {
+        let applied = self.configuration.apply(update.0);
         if applied == Applied::Advanced {
             self.publish();
         }
@@ -68,7 +72,8 @@
     }
 }
 
-/// Asks what a peer at a generation lacks.
+/// Requests the update that brings a peer or a watching client from this
+/// generation to the current one; none if it is up to date.
 #[derive(Message)]
 #[rtype(result = "Option<Update>")]
 pub struct UpdateSince(pub u64);
@@ -81,8 +86,8 @@
     }
 }
 
-/// Notes that the store was read, by this node or one it hears, and how long
-/// ago.
+/// Records that this node or a peer read the store this long ago. An older read
+/// than the newest known is ignored.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct RecordStoreRead(pub Duration);
@@ -97,7 +102,7 @@
     }
 }
 
-/// Asks for the age of the newest store read that is known.
+/// Requests the age of the newest store read known; none before the first.
 #[derive(Message)]
 #[rtype(result = "Option<Duration>")]
 pub struct StoreReadAge;
--- a/crates/cometmoor/src/control/membership.rs
+++ b/crates/cometmoor/src/control/membership.rs
@@ -1,4 +1,5 @@
-//! Probes peers, takes their updates in and publishes the members.
+//! The membership actor: probes peers, merges their updates and publishes the
+//! members and the freshness of the configuration.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -24,39 +25,42 @@
 use crate::settings::millis;
 use crate::telemetry::log::Part;
 
-/// How long a dead member is remembered.
-const REMEMBER_DEAD: Duration = Duration::from_secs(600);
-/// Time for a peer to send what this node lacks. A whole configuration is
-/// large, and when many nodes start at once its sender has many to serve; to
-/// ask again early would only add to that.
+/// How long a dead member is kept before it is removed.
+const DEAD_RETENTION: Duration = Duration::from_secs(600);
+/// Timeout for pulling an update from a peer. A full configuration is large, and
+/// when many nodes start at once its sender serves many of them; an early retry
+/// would only add to its load.
 const PULL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Least time between two peers that are told everything though they are known.
-const WHOLE_INTERVAL: Duration = Duration::from_secs(10);
-/// Peers that are told of news at once.
+/// Minimum time between two full exchanges with peers that are already known.
+const FULL_EXCHANGE_INTERVAL: Duration = Duration::from_secs(10);
+/// Number of peers to which urgent updates are pushed.
 const ANNOUNCE_FAN_OUT: usize = 4;
-/// One probe in this many goes to a seed, so that two halves of a system that
-/// took each other for dead find together again.
-const SEED_EVERY: u64 = 8;
+/// One probe in this many goes to a seed that is not known to be alive, so that
+/// two halves of a system that consider each other dead merge again.
+const SEED_PROBE_INTERVAL: u64 = 8;
 
-/// Owner of the membership.
+/// Owns this node's view of the members and exchanges updates with peers.
 pub struct MembershipActor {
     context: Arc<NodeContext>,
     membership: Membership,
     peers: Rc<PeerClient>,
     configuration: Addr<ConfigurationActor>,
+    /// Counts the ticks; determines when and which seed is probed.
     probes: u64,
-    /// When a peer that was known was last told everything.
-    last_whole: Option<Timestamp>,
-    /// Whether a pull of the configuration is under way.
+    /// When the full state was last sent to a peer that was already known.
+    last_full_exchange: Option<Timestamp>,
+    /// Whether a pull of the configuration is in progress; only one runs at a time.
     pulling: bool,
+    /// Age of the newest store read known, as of the last tick; none before the
+    /// first read.
     store_read_age: Option<Duration>,
     freshness: Freshness,
-    /// Revision of the members and freshness that were published last.
+    /// Revision of the members and freshness as last published.
     published: Option<(u64, Freshness)>,
 }
 
 impl MembershipActor {
-    /// An actor that knows only its own node.
+    /// Starts with a view that contains only this node.
     pub fn new(
         context: Arc<NodeContext>,
         peers: Rc<PeerClient>,
@@ -65,7 +69,7 @@
         let own = own_member(&context.settings, context.incarnation);
         let times = MembershipTimes {
             suspicion_timeout: millis(context.settings.timing.suspicion_millis),
-            dead_retention: REMEMBER_DEAD,
+            dead_retention: DEAD_RETENTION,
         };
         MembershipActor {
             membership: Membership::new(own, times),
@@ -73,7 +77,7 @@
             configuration,
             probes: 0,
             pulling: false,
-            last_whole: None,
+            last_full_exchange: None,
             store_read_age: None,
             freshness: Freshness::Isolated,
             published: None,
@@ -84,23 +88,25 @@
     fn tick(&mut self, actor_context: &mut Context<Self>) {
         let now = self.context.clock.now();
         for change in self.membership.tick(now) {
-            log_change(&change);
+            log_state_change(&change);
         }
         self.refresh_store_age(actor_context);
-        self.judge_freshness();
+        self.assess_freshness();
         self.publish();
         self.probe_next(actor_context);
     }
 
-    /// Probes the next peer, or now and then a seed that is not known to be
-    /// alive. A node that knows nobody asks a seed every time.
+    /// Probes the next peer, or once in [`SEED_PROBE_INTERVAL`] probes a seed that
+    /// is not known to be alive. A node without known peers probes a seed every
+    /// time.
     fn probe_next(&mut self, actor_context: &mut Context<Self>) {
         self.probes += 1;
-        let alone = self.membership.peers().next().is_none();
-        if alone || self.probes.is_multiple_of(SEED_EVERY) {
+        let has_no_peers = self.membership.peers().next().is_none();
+        if has_no_peers || self.probes.is_multiple_of(SEED_PROBE_INTERVAL) {
             let seeds = self.missing_seeds();
-            let turn = usize::try_from(self.probes / SEED_EVERY + self.probes).unwrap_or(0);
-            if let Some(seed) = seeds.get(turn % seeds.len().max(1)) {
+            let index =
+                usize::try_from(self.probes / SEED_PROBE_INTERVAL + self.probes).unwrap_or(0);
+            if let Some(seed) = seeds.get(index % seeds.len().max(1)) {
                 self.probe(None, *seed, actor_context);
                 return;
             }
@@ -113,7 +119,7 @@
         }
     }
 
-    /// Seeds at whose addresses no live member is known.
+    /// Seeds whose addresses belong to no member that is alive or suspected.
     fn missing_seeds(&self) -> Vec<SocketAddr> {
         let known: BTreeSet<String> =
             self.membership.serving().map(|member| member.peer_address.clone()).collect();
@@ -121,8 +127,9 @@
         seeds.filter(|seed| !known.contains(&seed.to_string())).collect()
     }
 
-    /// Exchanges updates with one peer; a seed need not be known by name. Who
-    /// does not know this node yet answers with everything.
+    /// Probes a peer by exchanging updates with it. `name` is none for a seed,
+    /// whose name need not be known. A peer that does not know this node yet
+    /// answers with its full state.
     fn probe(
         &mut self,
         name: Option<String>,
@@ -135,18 +142,19 @@
         let exchange = async move { peers.exchange(address, &digest, timeout).await };
         actor_context.spawn(exchange.into_actor(self).map(move |answer, actor, actor_context| {
             match answer {
-                Ok(answer) => actor.take_in(answer, Some(address), actor_context),
+                Ok(answer) => actor.merge_digest(answer, Some(address), actor_context),
                 Err(error) => {
                     if let Some(name) = name {
-                        actor.ask_helpers(name, address, &error, actor_context);
+                        actor.probe_indirectly(name, address, &error, actor_context);
                     }
                 }
             }
         }));
     }
 
-    /// Lets other peers probe one that did not answer this node.
-    fn ask_helpers(
+    /// Asks other peers to probe one that did not answer this node. If none of
+    /// them reaches it, the probe has failed.
+    fn probe_indirectly(
         &mut self,
         name: String,
         target: SocketAddr,
@@ -154,15 +162,16 @@
         actor_context: &mut Context<Self>,
     ) {
         debug!("{} probing {name} failed: {error}", Part::Membership);
-        let helpers = self.membership.indirect_probers(&name, &mut rand::rng());
+        let probers = self.membership.indirect_probers(&name, &mut rand::rng());
         let addresses: Vec<SocketAddr> =
-            helpers.iter().filter_map(|helper| helper.peer_address.parse().ok()).collect();
+            probers.iter().filter_map(|prober| prober.peer_address.parse().ok()).collect();
         let peers = self.peers.clone();
-        // The helper's own probe takes up to the same time.
+        // The prober's own probe may take as long as a direct one, in addition to
+        // the call to the prober.
         let timeout = 2 * self.probe_timeout();
         let reached_by_any = async move {
             let probes =
-                addresses.iter().map(|helper| peers.probe_through(*helper, target, timeout));
+                addresses.iter().map(|prober| peers.probe_through(*prober, target, timeout));
             join_all(probes).await.into_iter().any(|reached| reached == Ok(true))
         };
         actor_context.spawn(reached_by_any.into_actor(self).map(move |reached, actor, _| {
@@ -174,7 +183,7 @@
 
     fn probe_failed(&mut self, name: &str) {
         if let Some(change) = self.membership.probe_failed(name, self.context.clock.now()) {
-            log_change(&change);
+            log_state_change(&change);
             self.publish();
         }
     }
@@ -187,33 +196,36 @@
         u32::try_from(self.membership.members().count()).unwrap_or(u32::MAX)
     }
 
-    /// Whether a peer is told everything: a new one, and now and then one that
-    /// knows fewer members, because an update has passed it by.
-    fn is_told_everything(&mut self, peer: &Digest) -> bool {
+    /// Whether a peer gets the full state: if it is new, or if it knows fewer
+    /// members because it missed an update, though the latter at most once per
+    /// [`FULL_EXCHANGE_INTERVAL`].
+    fn needs_full_state(&mut self, peer: &Digest) -> bool {
         if self.membership.member(&peer.from.name).is_none() {
             return true;
         }
         let now = self.context.clock.now();
-        let due = self.last_whole.is_none_or(|last| now.since(last) >= WHOLE_INTERVAL);
-        let lacks_some = peer.member_count < self.member_count();
-        if due && lacks_some {
-            self.last_whole = Some(now);
+        let due =
+            self.last_full_exchange.is_none_or(|last| now.since(last) >= FULL_EXCHANGE_INTERVAL);
+        let lacks_members = peer.member_count < self.member_count();
+        if due && lacks_members {
+            self.last_full_exchange = Some(now);
         }
-        due && lacks_some
+        due && lacks_members
     }
 
-    fn digest(&mut self, peer: Option<&str>, whole: bool) -> Digest {
+    /// This node's digest for a peer; with `full`, it contains all members.
+    fn digest(&mut self, peer: Option<&str>, full: bool) -> Digest {
         Digest {
             from: self.membership.own().clone(),
             generation: self.context.published.load().generation,
             store_read_age: self.store_read_age,
-            members: self.membership.updates(peer, whole),
+            members: self.membership.updates(peer, full),
             member_count: self.member_count(),
         }
     }
 
-    /// Takes a peer's digest in, and pulls its configuration if it is newer.
-    fn take_in(
+    /// Merges a peer's digest, and pulls its configuration if that is newer.
+    fn merge_digest(
         &mut self,
         digest: Digest,
         address: Option<SocketAddr>,
@@ -222,28 +234,29 @@
         let now = self.context.clock.now();
         let name = digest.from.name.clone();
         let peer_address = address.or_else(|| digest.from.peer_address.parse().ok());
-        let is_whole = digest.members.len() > UPDATES_PER_EXCHANGE;
+        let is_full = digest.members.len() > UPDATES_PER_EXCHANGE;
         let mut changes: Vec<MemberChange> = Vec::new();
         changes.extend(self.membership.merge(digest.from, now));
         for member in digest.members {
-            changes.extend(if is_whole {
+            changes.extend(if is_full {
                 self.membership.merge_without_gossip(member, now)
             } else {
                 self.membership.merge(member, now)
             });
         }
-        changes.iter().for_each(log_change);
+        changes.iter().for_each(log_state_change);
         self.membership.record_contact(&name, now);
         if let Some(age) = digest.store_read_age {
             self.configuration.do_send(RecordStoreRead(age));
         }
-        let behind = digest.generation > self.context.published.load().generation;
-        if let Some(peer_address) = peer_address.filter(|_| behind && !self.pulling) {
+        let is_behind = digest.generation > self.context.published.load().generation;
+        if let Some(peer_address) = peer_address.filter(|_| is_behind && !self.pulling) {
             self.pull(peer_address, actor_context);
         }
         self.publish();
     }
 
+    /// Pulls the changes since the current generation from a peer.
     fn pull(&mut self, address: SocketAddr, actor_context: &mut Context<Self>) {
         self.pulling = true;
         let peers = self.peers.clone();
@@ -266,7 +279,7 @@
         }));
     }
 
-    fn judge_freshness(&mut self) {
+    fn assess_freshness(&mut self) {
         let now = self.context.clock.now();
         let tolerance = millis(self.context.settings.timing.freshness_millis);
         let connections = Connectivity {
@@ -276,11 +289,12 @@
         };
         let freshness = assess(connections, tolerance);
         if freshness != self.freshness {
-            info!("{} the configuration's state is {freshness:?}", Part::Membership);
+            info!("{} configuration freshness is {freshness:?}", Part::Membership);
             self.freshness = freshness;
         }
     }
 
+    /// Publishes the members and freshness if either has changed.
     fn publish(&mut self) {
         let current = (self.membership.revision(), self.freshness);
         if self.published == Some(current) {
@@ -295,11 +309,12 @@
         });
     }
 
-    /// Tells the neighbours at once, instead of waiting for probes. Each of
-    /// them tells others, so that the news spreads to all in a few steps.
+    /// Pushes updates to the gossip targets at once instead of waiting for the
+    /// next probes. The targets pass them on, so that they reach all nodes in a
+    /// few hops.
     fn announce(&mut self, actor_context: &mut Context<Self>) {
-        let neighbours = self.membership.gossip_targets(ANNOUNCE_FAN_OUT);
-        let targets: Vec<Member> = neighbours.into_iter().cloned().collect();
+        let targets = self.membership.gossip_targets(ANNOUNCE_FAN_OUT);
+        let targets: Vec<Member> = targets.into_iter().cloned().collect();
         for target in targets {
             if let Ok(address) = target.peer_address.parse() {
                 self.peers.keep_open(address);
@@ -309,7 +324,7 @@
     }
 }
 
-fn log_change(change: &MemberChange) {
+fn log_state_change(change: &MemberChange) {
     info!("{} {} is {:?}", Part::Membership, change.name, change.state);
 }
 
@@ -322,7 +337,7 @@
     }
 }
 
-/// A peer's digest, to be answered by this node's.
+/// An exchange started by a peer: carries its digest and returns this node's.
 #[derive(Message)]
 #[rtype(result = "Digest")]
 pub struct Exchange(pub Digest);
@@ -332,13 +347,13 @@
 
     fn handle(&mut self, exchange: Exchange, actor_context: &mut Context<Self>) -> Self::Result {
         let name = exchange.0.from.name.clone();
-        let whole = self.is_told_everything(&exchange.0);
-        self.take_in(exchange.0, None, actor_context);
-        MessageResult(self.digest(Some(&name), whole))
+        let full = self.needs_full_state(&exchange.0);
+        self.merge_digest(exchange.0, None, actor_context);
+        MessageResult(self.digest(Some(&name), full))
     }
 }
 
-/// Asks whether this node reaches another one.
+/// Probes an address on behalf of another node; returns whether it answered.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub struct Probe(pub SocketAddr);
@@ -354,7 +369,7 @@
     }
 }
 
-/// Asks to tell all peers of a new generation at once.
+/// Pushes a new generation to the gossip targets at once.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct AnnounceGeneration;
@@ -367,7 +382,7 @@
     }
 }
 
-/// Asks to announce that this node is leaving.
+/// Announces that this node is leaving.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct AnnounceLeaving;
@@ -382,7 +397,7 @@
     }
 }
 
-/// Asks to announce the stopped nodes whose idempotency keys are held here.
+/// Announces the stopped issuers whose idempotency tables this node holds.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct AnnounceAdopted;
--- a/crates/cometmoor/src/control/relay.rs
+++ b/crates/cometmoor/src/control/relay.rs
@@ -1,7 +1,8 @@
 //! Reads and watches the configuration store on behalf of a zone.
 //!
-//! Only the first few nodes of each zone do it, so that the number of store
-//! calls does not follow the number of nodes; the others learn from peers.
+//! Only a few nodes of each zone, its relays, do so, which keeps the number of
+//! store calls independent of the number of nodes; the other nodes pull from
+//! peers.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -24,43 +25,46 @@
 use crate::store::{ConfigurationStore, KeyValue, StoreError, WatchBatch, WatchEvent};
 use crate::telemetry::log::Part;
 
-/// Nodes of each zone that read the store.
+/// Number of nodes per zone that read the store.
 pub const RELAYS_PER_ZONE: usize = 2;
-/// Key under which relays are ranked.
+/// Key of the rendezvous hash that ranks the nodes of a zone as relays.
 const RELAY_RANK_KEY: &str = "relay";
-/// Reads of the head within the period for which a read counts as current.
-const READS_PER_FRESHNESS: u64 = 4;
-/// Time in which a new node waits to hear of others.
-const JOIN_PERIOD: Duration = Duration::from_secs(2);
-/// Shortest and longest pause after a failed read.
-const RETRY_PAUSE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(3));
-
-/// The configuration as the store holds it.
+/// Number of reads of the head within `freshnessMillis`, the period for which a
+/// read counts as current, while the watch delivers nothing.
+const HEAD_READS_PER_FRESHNESS_PERIOD: u64 = 4;
+/// How long a new node without known peers waits before it may become a relay.
+const JOIN_WAIT: Duration = Duration::from_secs(2);
+/// Minimum and maximum delay after a failed read, before jitter. The minimum is
+/// also the interval at which a node checks whether it has become a relay.
+const RETRY_DELAY: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(3));
+
+/// The configuration as read from the store.
 #[derive(Clone, Debug)]
 pub struct StoredConfiguration {
-    /// The head; its default before the first change.
+    /// The head; the default before the first change.
     pub head: ConfigurationHead,
     /// Revision at which the head was written; 0 before the first change.
     pub head_revision: u64,
-    /// Revision of the read.
+    /// Revision of the store at which everything was read.
     pub read_revision: u64,
-    /// The resources.
+    /// All resources.
     pub resources: Vec<Arc<Resource>>,
 }
 
-/// Reads the whole configuration at one revision.
+/// Reads the entire configuration at one revision. Fails if a value cannot be
+/// parsed or has a newer format.
 pub async fn read_configuration(
     store: &impl ConfigurationStore,
     layout: &Layout,
 ) -> Result<StoredConfiguration, StoreError> {
-    let answer = store.range(&layout.configuration()).await?;
+    let response = store.range(&layout.configuration()).await?;
     let mut stored = StoredConfiguration {
         head: ConfigurationHead::default(),
         head_revision: 0,
-        read_revision: answer.revision,
+        read_revision: response.revision,
         resources: Vec::new(),
     };
-    for item in answer.items {
+    for item in response.items {
         if item.key == layout.head() {
             stored.head = parse_head(&item)?;
             stored.head_revision = item.modified_revision;
@@ -71,13 +75,14 @@
     Ok(stored)
 }
 
-/// Reads the head alone, with the revision at which it was written.
+/// Reads only the head, with the revision at which it was written; the default
+/// and 0 before the first change.
 pub async fn read_head(
     store: &impl ConfigurationStore,
     layout: &Layout,
 ) -> Result<(ConfigurationHead, u64), StoreError> {
-    let answer = store.range(&layout.head()).await?;
-    match answer.items.first() {
+    let response = store.range(&layout.head()).await?;
+    match response.items.first() {
         Some(item) => Ok((parse_head(item)?, item.modified_revision)),
         None => Ok((ConfigurationHead::default(), 0)),
     }
@@ -87,14 +92,15 @@
     StoreError::Malformed { what: item.key.clone(), reason: error.to_string() }
 }
 
-/// Formats are checked before the rest, which a newer one may have changed.
+/// The format of a stored value. It is parsed first, because a newer format may
+/// have changed the other fields.
 #[derive(serde::Deserialize)]
-struct FormatOnly {
+struct StoredFormat {
     format: u32,
 }
 
 fn check_format(item: &KeyValue) -> Result<(), StoreError> {
-    let parsed: FormatOnly =
+    let parsed: StoredFormat =
         serde_json::from_slice(&item.value).map_err(|error| malformed(item, error))?;
     if parsed.format > STORED_FORMAT {
         return Err(StoreError::NewerFormat { key: item.key.clone(), format: parsed.format });
@@ -114,7 +120,8 @@
     Ok(stored.resource)
 }
 
-/// Whether a node is one of its zone's relays.
+/// Whether a node is one of the relays of its zone: the highest ranked of the
+/// members that are alive or suspected.
 pub fn is_relay(members: &[Member], own: &Member) -> bool {
     let candidates: Vec<HomeCandidate> = members
         .iter()
@@ -126,8 +133,7 @@
     relays.iter().any(|relay| relay.name == own.name)
 }
 
-/// Keeps the configuration up to date from the store while this node is a
-/// relay.
+/// Task that applies changes from the store while this node is a relay.
 pub struct Relay<Store> {
     context: Arc<NodeContext>,
     store: Rc<Store>,
@@ -136,7 +142,7 @@
 }
 
 impl<Store: ConfigurationStore> Relay<Store> {
-    /// A relay that reads through `store`.
+    /// Creates the task; it reads through `store`.
     pub fn new(
         context: Arc<NodeContext>,
         store: Rc<Store>,
@@ -146,22 +152,23 @@
         Relay { context, store, layout, configuration }
     }
 
-    /// Runs until the process ends.
+    /// Runs until the process exits. Failed reads are retried with exponential
+    /// backoff and jitter.
     pub async fn run(self) {
-        let (shortest, longest) = RETRY_PAUSE;
-        let mut pause = shortest;
+        let (min_delay, max_delay) = RETRY_DELAY;
+        let mut delay = min_delay;
         loop {
             if !self.is_relay() {
-                tokio::time::sleep(shortest).await;
+                tokio::time::sleep(min_delay).await;
                 continue;
             }
             match self.read_and_watch().await {
-                Ok(()) => pause = shortest,
+                Ok(()) => delay = min_delay,
                 Err(error) => {
                     warn!("{} reading the configuration failed: {error}", Part::Store);
                     let jitter = rand::rng().random_range(0.5..1.0);
-                    tokio::time::sleep(pause.mul_f64(jitter)).await;
-                    pause = (pause * 2).min(longest);
+                    tokio::time::sleep(delay.mul_f64(jitter)).await;
+                    delay = (delay * 2).min(max_delay);
                 }
             }
         }
@@ -169,43 +176,46 @@
 
     fn is_relay(&self) -> bool {
         let members = self.context.published.load().members.clone();
-        // A node that has just started would take itself for its zone's only
-        // member: it listens for the others first.
+        // A node that has just started would consider itself the only member of
+        // its zone, so it first waits to learn of the others.
         let knows_others = members.len() > 1 || self.context.settings.seeds.is_empty();
-        let waited = self.context.clock.now().since(Timestamp::default()) > JOIN_PERIOD;
-        (knows_others || waited) && members.first().is_some_and(|own| is_relay(&members, own))
+        let join_period_over = self.context.clock.now().since(Timestamp::default()) > JOIN_WAIT;
+        (knows_others || join_period_over)
+            && members.first().is_some_and(|own| is_relay(&members, own))
     }
 
-    /// Reads everything, then follows the changes until the watch is lost or
-    /// this node is no relay any more.
+    /// Reads the configuration, then applies the changes from a watch. Returns if
+    /// the watch is lost, changes were missed or this node is no longer a relay.
     async fn read_and_watch(&self) -> Result<(), StoreError> {
         let stored = read_configuration(&*self.store, &self.layout).await?;
         let from_revision = stored.read_revision + 1;
         let mut generation = stored.head.generation;
-        self.note_read();
-        self.offer(Update::Full { generation, resources: stored.resources }).await;
+        self.record_store_read();
+        self.apply(Update::Full { generation, resources: stored.resources }).await;
         let mut events = self.store.watch(&self.layout.configuration(), from_revision).await?;
-        let interval = millis(self.context.settings.timing.freshness_millis / READS_PER_FRESHNESS);
+        let interval =
+            millis(self.context.settings.timing.freshness_millis / HEAD_READS_PER_FRESHNESS_PERIOD);
         while self.is_relay() {
             match tokio::time::timeout(interval, events.next()).await {
                 Ok(Some(Ok(WatchEvent::Batch(batch)))) => {
-                    self.note_read();
-                    let Some(change) = self.change_of(batch)? else {
+                    self.record_store_read();
+                    let Some(change) = self.parse_change(batch)? else {
                         continue;
                     };
                     let update = Update::Changes { base: generation, changes: vec![change] };
                     generation += 1;
-                    if self.offer(update).await == Applied::Gap {
+                    if self.apply(update).await == Applied::Gap {
                         return Ok(());
                     }
                 }
                 Ok(Some(Ok(WatchEvent::Progress))) => {}
                 Ok(Some(Ok(WatchEvent::Compacted)) | None) => return Ok(()),
                 Ok(Some(Err(error))) => return Err(error),
-                // The watch is silent: the head proves that it missed nothing.
+                // No event within the interval: reading the head shows whether the
+                // watch has missed a change.
                 Err(_) => {
                     let (head, _) = read_head(&*self.store, &self.layout).await?;
-                    self.note_read();
+                    self.record_store_read();
                     if head.generation > generation {
                         return Ok(());
                     }
@@ -215,9 +225,9 @@
         Ok(())
     }
 
-    /// The change that a transaction of a writer made; none where it only
-    /// rewrote the head.
-    fn change_of(&self, batch: WatchBatch) -> Result<Option<Change>, StoreError> {
+    /// The change that a writer's transaction made; none if it only rewrote the
+    /// head, which a writer does to resolve an unanswered transaction.
+    fn parse_change(&self, batch: WatchBatch) -> Result<Option<Change>, StoreError> {
         let head_key = self.layout.head();
         let mut generation = None;
         let mut written = None;
@@ -239,11 +249,11 @@
         }))
     }
 
-    fn note_read(&self) {
+    fn record_store_read(&self) {
         self.configuration.do_send(RecordStoreRead(Duration::ZERO));
     }
 
-    async fn offer(&self, update: Update) -> Applied {
+    async fn apply(&self, update: Update) -> Applied {
         self.configuration.send(ApplyUpdate(update)).await.unwrap_or(Applied::NothingNew)
     }
 }
