--- a/crates/cometmoor/src/control/writer.rs
+++ b/crates/cometmoor/src/control/writer.rs
@@ -19,7 +19,7 @@
 
 use super::relay::{read_configuration, read_head};
 use crate::store::layout::Layout;
-use crate::store::{Compare, ConfigurationStore, StoreError, Transaction, Write};
+use crate::store::{Compare, ConfigurationStore, StoreError, TransactionResult, Write};
 
 /// Number of recent changes kept in the head. It is limited because relays read
 /// the head every few seconds.
@@ -166,8 +166,8 @@
         }
         let (compares, writes) = transaction(layout, &base, change_id, request, &validated)?;
         match store.transact(&compares, &writes).await {
-            Ok(Transaction::Committed { .. }) => return Ok(validated.accepted),
-            Ok(Transaction::Conflict) => random_delay().await,
+            Ok(TransactionResult::Committed { .. }) => return Ok(validated.accepted),
+            Ok(TransactionResult::Conflict) => random_delay().await,
             Err(source) if source.may_have_taken_effect() => {
                 match resolve_transaction(store, layout, change_id, &base).await {
                     TransactionOutcome::Committed => return Ok(validated.accepted),
@@ -329,7 +329,8 @@
             continue;
         };
         let compares = [head_unmodified(layout, before)];
-        if let Ok(Transaction::Committed { .. }) = store.transact(&compares, &[rewrite]).await {
+        if let Ok(TransactionResult::Committed { .. }) = store.transact(&compares, &[rewrite]).await
+        {
             return TransactionOutcome::NotCommitted;
         }
     }
