--- a/crates/cometmoor-core/tests/idempotency.rs
+++ b/crates/cometmoor-core/tests/idempotency.rs
@@ -1,4 +1,5 @@
-//! A key runs at most once, whatever is asked, ended, expired or handed over.
+//! Tests of idempotency keys: a key runs at most once in any sequence of requests,
+//! outcomes, expiries and handovers.
 
 mod schedules;
 
@@ -6,7 +7,8 @@
 
 use bolero::TypeGenerator;
 use cometmoor_core::idempotency::{
-    Begin, Finish, IdempotencyLimits, IdempotencyTable, KeyError, KeyPrefix, StoredAnswer,
+    BeginOutcome, IdempotencyLimits, IdempotencyTable, KeyError, KeyPrefix, RunOutcome,
+    StoredAnswer,
 };
 use cometmoor_core::time::Timestamp;
 use schedules::for_each_schedule;
@@ -30,7 +32,7 @@
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Step {
-    Ask {
+    Begin {
         key: u8,
     },
     End {
@@ -41,13 +43,13 @@
         millis: u8,
     },
     Close,
-    /// The holder stops and another node takes the closed table over.
+    /// The holder stops and another node adopts the closed table.
     HandOver,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Runs {
-    /// Runs of which something may have had an effect.
+    /// Runs that may have had an effect.
     effective: u32,
     running: bool,
 }
@@ -62,7 +64,7 @@
 impl World {
     fn run(&mut self, step: Step) {
         match step {
-            Step::Ask { key } => self.ask(key % KEYS),
+            Step::Begin { key } => self.begin(key % KEYS),
             Step::End { key, end } => self.end(key % KEYS, end),
             Step::Wait { millis } => self.now = self.now + Duration::from_millis(millis.into()),
             Step::Close => {
@@ -79,28 +81,28 @@
         }
     }
 
-    /// The keys were issued at 0, 50 and 100 milliseconds.
+    /// Expiry of a key; the keys are issued at 0, 50 and 100 milliseconds.
     fn expiry(key: u8) -> Timestamp {
         Timestamp(50 * u64::from(key)) + LIMITS.key_lifetime
     }
 
-    fn ask(&mut self, key: u8) {
+    fn begin(&mut self, key: u8) {
         let begin = self.table.begin(&key.to_string(), World::expiry(key), FINGERPRINT, self.now);
         let runs = &mut self.runs[usize::from(key)];
         match begin {
-            Begin::Run => {
-                assert_eq!(runs.effective, 0, "key {key} was run before");
+            BeginOutcome::Run => {
+                assert_eq!(runs.effective, 0, "key {key} ran before");
                 assert!(!runs.running && !self.closed && self.now < World::expiry(key));
                 runs.running = true;
             }
-            Begin::Expired { certainly_not_run: true } => {
-                assert!(runs.effective == 0 && !runs.running, "key {key} was run");
+            BeginOutcome::Expired { certainly_not_run: true } => {
+                assert!(runs.effective == 0 && !runs.running, "key {key} ran");
             }
-            Begin::Replay(_) => assert_eq!(runs.effective, 1),
-            Begin::AlreadyRunning => assert!(runs.running),
-            Begin::Unknown => assert_eq!(runs.effective, 1),
-            Begin::DifferentRequest => unreachable!("all requests are the same"),
-            Begin::Expired { .. } | Begin::Full | Begin::Closed => {}
+            BeginOutcome::Replay(_) => assert_eq!(runs.effective, 1),
+            BeginOutcome::AlreadyRunning => assert!(runs.running),
+            BeginOutcome::Unknown => assert_eq!(runs.effective, 1),
+            BeginOutcome::DifferentRequest => unreachable!("all requests are the same"),
+            BeginOutcome::Expired { .. } | BeginOutcome::Full | BeginOutcome::Closed => {}
         }
     }
 
@@ -111,17 +113,17 @@
         }
         runs.running = false;
         let finish = match end {
-            End::Complete => Finish::Complete(answer()),
-            End::NotRun => Finish::NotRun,
-            End::Unknown => Finish::Unknown,
+            End::Complete => RunOutcome::Complete(answer()),
+            End::NotRun => RunOutcome::NotRun,
+            End::Unknown => RunOutcome::Unknown,
         };
-        runs.effective += u32::from(finish != Finish::NotRun);
+        runs.effective += u32::from(finish != RunOutcome::NotRun);
         self.table.finish(&key.to_string(), finish);
     }
 }
 
 #[test]
-fn a_key_runs_at_most_once_and_not_run_is_true() {
+fn key_runs_at_most_once_and_certainly_not_run_is_correct() {
     for_each_schedule::<Step>(CASES, |steps| {
         let mut world = World {
             table: IdempotencyTable::new(LIMITS),
@@ -136,30 +138,33 @@
 }
 
 #[test]
-fn a_key_keeps_to_its_request() {
+fn key_is_bound_to_its_first_request() {
     let mut table = IdempotencyTable::new(LIMITS);
     let expiry = World::expiry(0);
-    assert_eq!(table.begin("0", expiry, 1, Timestamp(0)), Begin::Run);
-    assert_eq!(table.begin("0", expiry, 2, Timestamp(0)), Begin::DifferentRequest);
-    table.finish("0", Finish::Complete(answer()));
-    assert_eq!(table.begin("0", expiry, 1, Timestamp(1)), Begin::Replay(answer()));
+    assert_eq!(table.begin("0", expiry, 1, Timestamp(0)), BeginOutcome::Run);
+    assert_eq!(table.begin("0", expiry, 2, Timestamp(0)), BeginOutcome::DifferentRequest);
+    table.finish("0", RunOutcome::Complete(answer()));
+    assert_eq!(table.begin("0", expiry, 1, Timestamp(1)), BeginOutcome::Replay(answer()));
 }
 
 #[test]
-fn a_full_table_takes_no_further_key_until_old_ones_are_forgotten() {
+fn full_table_rejects_new_keys_until_old_ones_are_removed() {
     let mut table = IdempotencyTable::new(LIMITS);
     for key in 0..3 {
-        assert_eq!(table.begin(&key.to_string(), Timestamp(100), 1, Timestamp(0)), Begin::Run);
+        assert_eq!(
+            table.begin(&key.to_string(), Timestamp(100), 1, Timestamp(0)),
+            BeginOutcome::Run
+        );
     }
-    assert_eq!(table.begin("3", Timestamp(100), 1, Timestamp(0)), Begin::Full);
+    assert_eq!(table.begin("3", Timestamp(100), 1, Timestamp(0)), BeginOutcome::Full);
     let later = Timestamp(200);
-    assert_eq!(table.begin("3", Timestamp(300), 1, later), Begin::Run);
-    let forgotten = Begin::Expired { certainly_not_run: false };
-    assert_eq!(table.begin("0", Timestamp(100), 1, later), forgotten);
+    assert_eq!(table.begin("3", Timestamp(300), 1, later), BeginOutcome::Run);
+    let removed = BeginOutcome::Expired { certainly_not_run: false };
+    assert_eq!(table.begin("0", Timestamp(100), 1, later), removed);
 }
 
 #[test]
-fn prefixes_are_read_back_and_others_refused() {
+fn prefixes_round_trip_and_invalid_keys_are_rejected() {
     let prefix = KeyPrefix {
         system: "lab".to_owned(),
         node: "node-1".to_owned(),
@@ -167,9 +172,9 @@
         expires_at: Timestamp(0x1234),
     };
     let key = format!("{prefix}order/17");
-    assert_eq!(KeyPrefix::of_key(&key, "lab"), Ok(prefix.clone()));
-    assert_eq!(KeyPrefix::of_key(&key, "other"), Err(KeyError::ForeignSystem));
-    assert_eq!(KeyPrefix::of_key(&prefix.to_string(), "lab"), Err(KeyError::Malformed));
-    assert_eq!(KeyPrefix::of_key("order-17", "lab"), Err(KeyError::Malformed));
-    assert_eq!(KeyPrefix::of_key(&"x".repeat(300), "lab"), Err(KeyError::TooLong));
+    assert_eq!(KeyPrefix::from_key(&key, "lab"), Ok(prefix.clone()));
+    assert_eq!(KeyPrefix::from_key(&key, "other"), Err(KeyError::ForeignSystem));
+    assert_eq!(KeyPrefix::from_key(&prefix.to_string(), "lab"), Err(KeyError::Malformed));
+    assert_eq!(KeyPrefix::from_key("order-17", "lab"), Err(KeyError::Malformed));
+    assert_eq!(KeyPrefix::from_key(&"x".repeat(300), "lab"), Err(KeyError::TooLong));
 }
--- a/crates/cometmoor-gateway/src/forward/mod.rs
+++ b/crates/cometmoor-gateway/src/forward/mod.rs
@@ -4,16 +4,16 @@
 //! have reached a server, unless that server says that it did not run it. The
 //! statuses that promise "not run" are given only in that case.
 
-mod blame;
+mod crash_check;
 mod encode;
 mod exchange;
-mod gate;
+mod logging;
 mod migration;
 mod outcome;
-mod pick;
+mod permit;
 mod relay;
 mod send;
-mod story;
+mod server_selection;
 mod tenant;
 mod traffic;
 
@@ -22,10 +22,10 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cometmoor_core::gateway::admission::{COME_BACK, come_back_after_queue, come_back_in};
-use cometmoor_core::gateway::attempts::{Attempts, Failure, Progress};
+use cometmoor_core::gateway::admission::{DEFAULT_RETRY_AFTER, cap_retry_after, retry_after_queue};
+use cometmoor_core::gateway::attempts::{Attempts, Progress, SendFailure};
 use cometmoor_core::gateway::configuration::Route;
-use cometmoor_core::gateway::quarantine::{Fingerprint, Standing};
+use cometmoor_core::gateway::quarantine::{Fingerprint, QuarantineStatus};
 use cometmoor_core::gateway::tenants::Tenant;
 use cometmoor_core::time::BootInstant;
 use spdlog::info;
@@ -34,12 +34,12 @@
 use self::exchange::Received;
 use self::migration::Continuation;
 use self::outcome::Refusal;
-pub use self::outcome::{Finish, OwnAnswer};
-use self::pick::{Estimate, Found};
+pub use self::outcome::{ConnectionAction, LocalResponse};
 use self::relay::StreamState;
 use self::send::Sent;
-pub use self::tenant::{Admitted, access_to};
-pub use self::traffic::Traffic;
+use self::server_selection::{Estimate, Found};
+pub use self::tenant::{Admitted, check_access};
+pub use self::traffic::TrafficContext;
 use crate::clock;
 use crate::dialect::RequestFacts;
 use crate::fingerprint::fingerprint;
@@ -59,9 +59,9 @@
 const MAX_HELD: usize = 8;
 
 /// A client's request on its way.
-pub struct Forward<'a> {
+pub struct ForwardedRequest<'a> {
     /// What requests share.
-    pub traffic: &'a Traffic,
+    pub traffic: &'a TrafficContext,
     /// The client's connection.
     pub client: &'a TcpStream,
     /// Head of the request.
@@ -86,7 +86,7 @@
     ended: Cell<bool>,
 }
 
-impl Drop for Forward<'_> {
+impl Drop for ForwardedRequest<'_> {
     /// The client has left while its request was being served: what serves it
     /// is dropped, and the server's connection with it.
     fn drop(&mut self) {
@@ -100,20 +100,20 @@
     }
 }
 
-impl<'a> Forward<'a> {
+impl<'a> ForwardedRequest<'a> {
     /// A request that was read whole.
     pub fn new(
-        traffic: &'a Traffic,
+        traffic: &'a TrafficContext,
         client: &'a TcpStream,
         head: &'a RequestHead,
         body: &'a Bytes,
         facts: RequestFacts,
         admitted: Admitted,
         received: BootInstant,
-    ) -> Forward<'a> {
+    ) -> ForwardedRequest<'a> {
         let Admitted { route, tenant } = admitted;
-        let attempts = Cell::new(Attempts::new(route.repeat, route.attempts));
-        Forward {
+        let attempts = Cell::new(Attempts::new(route.retry_policy, route.max_attempts));
+        ForwardedRequest {
             traffic,
             client,
             head,
@@ -148,7 +148,7 @@
     }
 
     /// Serves the request within its time.
-    pub async fn serve(self, service: &str) -> Finish {
+    pub async fn serve(self, service: &str) -> ConnectionAction {
         let end = self.end();
         let finish = match clock::timeout_at(end, self.run(service)).await {
             Ok(finish) => finish,
@@ -158,7 +158,7 @@
         finish
     }
 
-    async fn out_of_time(&self) -> Finish {
+    async fn out_of_time(&self) -> ConnectionAction {
         let progress = self.attempts.get().progress();
         let server = self.server.borrow().clone();
         let server = server.as_deref().unwrap_or("-");
@@ -167,13 +167,13 @@
             self.ended("unknown", progress.step(), "out of time");
         }
         match progress {
-            Progress::Waiting => self.refuse(Refusal::OutOfTime, COME_BACK).await,
-            Progress::Sent => self.answer(OwnAnswer::timeout()).await,
-            Progress::Answering => Finish::Cut,
+            Progress::Waiting => self.refuse(Refusal::OutOfTime, DEFAULT_RETRY_AFTER).await,
+            Progress::Sent => self.answer(LocalResponse::gateway_timeout()).await,
+            Progress::Responding => ConnectionAction::Abort,
         }
     }
 
-    async fn run(&self, service: &str) -> Finish {
+    async fn run(&self, service: &str) -> ConnectionAction {
         if let Err((refusal, come_back)) = self.acquire_quota().await {
             return self.refuse(refusal, come_back).await;
         }
@@ -191,18 +191,20 @@
                     Sent::Finished(finish) => return finish,
                     Sent::Moved(continuation) => moved = Some(continuation),
                     _ if self.may_follow_broken_stream(service, &server).await => {}
-                    _ => return Finish::Cut,
+                    _ => return ConnectionAction::Abort,
                 }
                 continue;
             }
             self.wait_for_verdict().await;
-            if let Standing::Quarantined(left) = self.traffic.quarantine.standing(self.content) {
+            if let QuarantineStatus::Quarantined(left) =
+                self.traffic.quarantine.status(self.content)
+            {
                 return self.no_server(kept_error, &stream, Refusal::Quarantined, left).await;
             }
             let server = match self.wait_for_server(service, &tried, &stream).await {
                 Found::Server { server, .. } => server,
                 Found::TooBusy(expected) => {
-                    let after = come_back_after_queue(expected, self.route.objective);
+                    let after = retry_after_queue(expected, self.route.objective);
                     return self.no_server(kept_error, &stream, Refusal::TooBusy, after).await;
                 }
                 Found::Held { come_back, .. } => {
@@ -210,7 +212,7 @@
                     return self.no_server(kept_error, &stream, refusal, come_back).await;
                 }
                 Found::Nobody(refusal) => {
-                    return self.no_server(kept_error, &stream, refusal, COME_BACK).await;
+                    return self.no_server(kept_error, &stream, refusal, DEFAULT_RETRY_AFTER).await;
                 }
             };
             let record = server.record();
@@ -224,7 +226,7 @@
                 }
                 Sent::Held(hold) => {
                     let refusal = Refusal::ServersHeld;
-                    return self.no_server(kept_error, &stream, refusal, hold.come_back()).await;
+                    return self.no_server(kept_error, &stream, refusal, hold.retry_after()).await;
                 }
                 Sent::Finished(finish) => return finish,
                 Sent::Moved(continuation) => moved = Some(continuation),
@@ -232,7 +234,9 @@
                     unreachable += 1;
                     if unreachable >= MAX_UNREACHABLE {
                         let refusal = Refusal::NoServer;
-                        return self.no_server(kept_error, &stream, refusal, COME_BACK).await;
+                        return self
+                            .no_server(kept_error, &stream, refusal, DEFAULT_RETRY_AFTER)
+                            .await;
                     }
                     continue;
                 }
@@ -243,7 +247,7 @@
                     let id = &*record.incarnation;
                     let request = &*self.facts.id;
                     info!("[forward] the server did not run it", kv: { request, server = id, status, misdirected });
-                    if !self.may_send_again(service, &server, Failure::NotRun).await {
+                    if !self.may_send_again(service, &server, SendFailure::NotRun).await {
                         let refusal = Refusal::ServerRefused;
                         let come_back = self.come_back_after(service, &server, &tried, &stream);
                         return self.no_server(kept_error, &stream, refusal, come_back).await;
@@ -251,20 +255,20 @@
                 }
                 Sent::Failed(error) => {
                     self.log_failure("failed", "server", &record.incarnation, &error.to_string());
-                    if !self.may_send_again(service, &server, Failure::Broken).await {
+                    if !self.may_send_again(service, &server, SendFailure::ConnectionLost).await {
                         self.ended("unknown", "server", "broken after the send");
-                        return self.answer(OwnAnswer::bad_gateway()).await;
+                        return self.answer(LocalResponse::bad_gateway()).await;
                     }
                 }
                 Sent::ServerError(received, body) => {
-                    if !self.may_send_again(service, &server, Failure::ServerError).await {
+                    if !self.may_send_again(service, &server, SendFailure::ServerError).await {
                         return self.pass_whole(*received, body).await;
                     }
                     kept_error = Some((received, body));
                 }
                 Sent::Broken => {
                     if !self.may_follow_broken_stream(service, &server).await {
-                        return Finish::Cut;
+                        return ConnectionAction::Abort;
                     }
                 }
             }
@@ -280,20 +284,20 @@
         stream: &StreamState,
     ) -> Duration {
         if self.traffic.signals.hold(server.hash(), clock::now()).is_none() {
-            return COME_BACK;
+            return DEFAULT_RETRY_AFTER;
         }
         match self.pick(service, tried, stream) {
             Found::Server { .. } => COME_BACK_ELSEWHERE,
             Found::Held { come_back, .. } => come_back,
-            Found::TooBusy(expected) => come_back_after_queue(expected, self.route.objective),
-            Found::Nobody(_) => COME_BACK,
+            Found::TooBusy(expected) => retry_after_queue(expected, self.route.objective),
+            Found::Nobody(_) => DEFAULT_RETRY_AFTER,
         }
     }
 
     /// Whether a stream of which the client has a part may go on as another run.
     async fn may_follow_broken_stream(&self, service: &str, server: &Server) -> bool {
         self.log_failure("broken", "stream", &server.record().incarnation, "the stream broke off");
-        let follows = self.may_send_again(service, server, Failure::StreamBroken).await;
+        let follows = self.may_send_again(service, server, SendFailure::StreamInterrupted).await;
         if !follows {
             self.ended("cut", "stream", "the stream broke off");
         }
@@ -301,11 +305,11 @@
     }
 
     /// Whether the request may go to another server after a failure at this one.
-    async fn may_send_again(&self, service: &str, server: &Server, failure: Failure) -> bool {
-        if !self.attempts.get().may_follow(failure) {
+    async fn may_send_again(&self, service: &str, server: &Server, failure: SendFailure) -> bool {
+        if !self.attempts.get().can_retry(failure) {
             return false;
         }
-        if matches!(failure, Failure::Broken | Failure::StreamBroken) {
+        if matches!(failure, SendFailure::ConnectionLost | SendFailure::StreamInterrupted) {
             self.wait_for_liveness(server).await;
         }
         let is_quarantined = self.traffic.quarantine.is_quarantined(self.content);
@@ -330,48 +334,48 @@
         stream: &StreamState,
         refusal: Refusal,
         come_back: Duration,
-    ) -> Finish {
+    ) -> ConnectionAction {
         if stream.head_sent {
-            return Finish::Cut;
+            return ConnectionAction::Abort;
         }
         if let Some((received, body)) = kept_error {
             return self.pass_whole(*received, body).await;
         }
-        match self.attempts.get().may_say_not_run() {
+        match self.attempts.get().is_known_not_run() {
             true => self.refuse(refusal, come_back).await,
-            false => self.answer(OwnAnswer::bad_gateway()).await,
+            false => self.answer(LocalResponse::bad_gateway()).await,
         }
     }
 
-    async fn pass_whole(&self, received: Received, body: Vec<u8>) -> Finish {
-        self.note(Attempts::note_answering);
+    async fn pass_whole(&self, received: Received, body: Vec<u8>) -> ConnectionAction {
+        self.note(Attempts::record_response_started);
         let keep = self.keeps_connection();
         let bytes = encode::whole_answer(&received.head, &body, self.head.method == "HEAD", keep);
         self.write(&bytes, keep).await
     }
 
-    async fn write(&self, bytes: &[u8], keep: bool) -> Finish {
+    async fn write(&self, bytes: &[u8], keep: bool) -> ConnectionAction {
         match crate::http::connection::write_all(self.client, bytes).await {
-            Ok(()) if keep => Finish::Keep,
-            Ok(()) => Finish::Close,
-            Err(_) => Finish::Cut,
+            Ok(()) if keep => ConnectionAction::KeepAlive,
+            Ok(()) => ConnectionAction::Close,
+            Err(_) => ConnectionAction::Abort,
         }
     }
 
     /// Tells the client that the request was not run and when to come back.
-    async fn refuse(&self, refusal: Refusal, come_back: Duration) -> Finish {
+    async fn refuse(&self, refusal: Refusal, come_back: Duration) -> ConnectionAction {
         let after = match refusal {
             // Earlier, it would be refused again.
             Refusal::Quarantined => come_back,
-            _ => come_back_in(come_back, self.client_time_left()),
+            _ => cap_retry_after(come_back, self.client_time_left()),
         };
         self.log_refused(refusal, after);
         let outcome = if refusal == Refusal::OverLimit { "over_limit" } else { "refused" };
         self.ended(outcome, refusal.step(), refusal.name());
         let answer = match refusal {
-            Refusal::KeyTakenAway => OwnAnswer::unauthorized(),
-            Refusal::OverLimit => OwnAnswer::over_limit(after),
-            _ => OwnAnswer::not_run(after),
+            Refusal::KeyTakenAway => LocalResponse::unauthorized(),
+            Refusal::OverLimit => LocalResponse::over_limit(after),
+            _ => LocalResponse::not_run(after),
         };
         self.answer(answer).await
     }
@@ -381,7 +385,7 @@
         (self.received + deadline).since(clock::now())
     }
 
-    async fn answer(&self, answer: OwnAnswer) -> Finish {
+    async fn answer(&self, answer: LocalResponse) -> ConnectionAction {
         let keep = self.keeps_connection();
         let bytes = answer.encode(&*self.traffic.dialect, &self.facts.id, keep);
         self.write(&bytes, keep).await
--- a/crates/cometmoor-gateway/src/forward/gate.rs
+++ b/crates/cometmoor-gateway/src/forward/permit.rs
@@ -12,7 +12,7 @@
 use cometmoor_core::gateway::quota::Decision;
 use cometmoor_core::gateway::signals::{Denial, Hold, IncarnationHash};
 
-use super::Forward;
+use super::ForwardedRequest;
 use crate::clock;
 use crate::metrics::StateLabels;
 use crate::quota::QuotaDesk;
@@ -48,7 +48,7 @@
     }
 }
 
-impl Forward<'_> {
+impl ForwardedRequest<'_> {
     /// Asks whether the server may get the request now.
     pub(super) async fn send_permit(&self, server: &Server) -> Result<SendPermit, Hold> {
         let permit = self.ask_for_permit(server).await;
@@ -79,14 +79,14 @@
                 // It may have been heard meanwhile that the server takes nothing.
                 return signals.hold(key, clock::now()).map_or(Ok(permit), Err);
             }
-            Ok(Decision::Refused(room)) => Denial::UsedUp(room),
+            Ok(Decision::Refused(room)) => Denial::Exhausted(room),
             Ok(Decision::Undecided | Decision::Pending(_)) | Err(_) => {
                 Denial::Undecided(UNDECIDED_FOR)
             }
         };
         signals.note_denied(key, self.traffic.board.fleet.load().nodes_heard, denial);
-        let room = denial.room();
-        let denied = Hold::OverLimit { asked_again: room, room };
+        let room = denial.retry_after();
+        let denied = Hold::OverLimit { recheck_after: room, retry_after: room };
         Err(signals.hold(key, clock::now()).unwrap_or(denied))
     }
 }
--- a/crates/cometmoor-gateway/src/forward/send.rs
+++ b/crates/cometmoor-gateway/src/forward/send.rs
@@ -9,7 +9,7 @@
 use super::migration::Continuation;
 use super::outcome::Refusal;
 use super::relay::{self, EventPauses, FirstEvent, RelayError, StreamState};
-use super::{Finish, Forward};
+use super::{ConnectionAction, ForwardedRequest};
 use crate::clock;
 use crate::dialect::RunCopy;
 use crate::load::PendingWork;
@@ -18,7 +18,7 @@
 /// What became of one send.
 pub(super) enum Sent {
     /// The client has its answer, or what there is of it.
-    Finished(Finish),
+    Finished(ConnectionAction),
     /// Nothing left for the server.
     Unreachable,
     /// Nothing left for the server, which takes nothing from this node now.
@@ -48,7 +48,7 @@
     }
 }
 
-impl Forward<'_> {
+impl ForwardedRequest<'_> {
     /// Sends the request to a server, or lets it go on there from a copy.
     pub(super) async fn send(
         &self,
@@ -112,7 +112,7 @@
         let received = match exchanged {
             Ok(received) => received,
             Err(SendError::NotSent(_)) => {
-                note(Attempts::note_not_sent);
+                note(Attempts::record_not_sent);
                 is_sent(false);
                 return Sent::Unreachable;
             }
@@ -130,11 +130,11 @@
             let (status, misdirected) = (received.head.status, facts.misdirected);
             self.note_not_run(server, misdirected);
             let _ = received.drain(&server.pool).await;
-            note(Attempts::note_not_run);
+            note(Attempts::record_not_run);
             return Sent::NotRun { status, misdirected };
         }
         let success = (200..300).contains(&received.head.status);
-        if self.route.repeat.is_stream() && success {
+        if self.route.retry_policy.is_stream() && success {
             let mut meter = FirstEvent { guard: &mut guard, sent_at };
             return self.relay_stream(server, received, stream, &mut meter).await;
         }
@@ -185,7 +185,7 @@
             Err(RelayError::Client) => {
                 let reason = "the client takes no more bytes";
                 self.log_failure("client left", "stream", &server.record().incarnation, reason);
-                Sent::Finished(Finish::Cut)
+                Sent::Finished(ConnectionAction::Abort)
             }
             Err(RelayError::Moved(continuation)) => Sent::Moved(continuation),
             Err(RelayError::Server(error)) => {
@@ -236,7 +236,7 @@
             &server.record().incarnation,
             &status.to_string(),
         );
-        if self.route.repeat.may_run_again() {
+        if self.route.retry_policy.allows_rerun() {
             return Sent::ServerError(Box::new(received), collected.bytes);
         }
         Sent::Finished(self.pass_whole(received, collected.bytes).await)
