--- a/crates/cometmoor-gateway/src/control/watcher.rs
+++ b/crates/cometmoor-gateway/src/control/watcher.rs
@@ -17,7 +17,7 @@
     GetTimeUntilRefresh, ReadCompleted, ReadPlan, StoreCallFailed,
 };
 use crate::clock;
-use crate::dialect::Watched;
+use crate::dialect::WatchResult;
 use crate::peer::StorePrefix;
 use crate::store::{PagedRead, StoreError};
 
@@ -158,7 +158,7 @@
     }
 
     fn limits(&self) -> StalenessLimits {
-        self.context.settings.staleness()
+        self.context.settings.staleness_limits()
     }
 
     /// Reads everything or follows the changes. Returns the next step.
@@ -197,9 +197,9 @@
         let (store, requested_at) = (&self.context.store, clock::now());
         let watch = store.watch(self.key_prefix(), after, wait, self.limits().watch_grace());
         match select(pin!(watch), pin!(self.wait_until_refresh())).await {
-            Either::Left((watched, _)) => self.handle_watched(watched?, after, requested_at).await,
+            Either::Left((watched, _)) => self.handle_result(watched?, after, requested_at).await,
             Either::Right(((), _)) => {
-                store.distrust_connections();
+                store.close_idle_connections();
                 Ok(Step::FollowAfterPoll)
             }
         }
@@ -228,18 +228,18 @@
     async fn poll(&self, after: StorePosition, failures: u32) -> Result<Step, StoreError> {
         let (timeout, requested_at) = (self.limits().poll_timeout(failures), clock::now());
         let watched = self.context.store.watch(self.key_prefix(), after, NO_WAIT, timeout).await?;
-        self.handle_watched(watched, after, requested_at).await
+        self.handle_result(watched, after, requested_at).await
     }
 
     /// Handles the answer to a watch that began at `requested_at`. Returns the next step.
-    async fn handle_watched(
+    async fn handle_result(
         &self,
-        watched: Watched,
+        watched: WatchResult,
         after: StorePosition,
         requested_at: BootInstant,
     ) -> Result<Step, StoreError> {
         match watched {
-            Watched::Events(events) => {
+            WatchResult::Events(events) => {
                 let is_batched = self.prefix == StorePrefix::Servers && !events.is_empty();
                 let era = after.era;
                 self.fleet.do_send(ChangesReceived {
@@ -253,7 +253,7 @@
                 }
                 Ok(Step::Follow)
             }
-            Watched::Forgotten => {
+            WatchResult::Compacted => {
                 let (what, after) = (self.prefix.name(), after.to_string());
                 info!("[store] changes are no longer available; reading everything again", kv: { what, after });
                 Ok(Step::ReadAgain)
--- a/crates/cometmoor-gateway/src/store.rs
+++ b/crates/cometmoor-gateway/src/store.rs
@@ -7,8 +7,8 @@
 use cometmoor_core::gateway::store_position::{StoreEra, StorePosition};
 
 use crate::control_traffic::TrafficKind;
-use crate::dialect::{Commit, Committed, Dialect, FormatError, Item, Watched};
-use crate::http::client::{Answer, Call, CallClient, CallError};
+use crate::dialect::{Commit, CommitResult, Dialect, FormatError, Item, WatchResult};
+use crate::http::client::{Call, CallClient, CallError, Response};
 use crate::metrics::Metrics;
 use crate::mirror::Mirror;
 use crate::store_era::{EraTracker, PastEra};
@@ -22,39 +22,41 @@
     /// There is no answer.
     Call(CallError),
     /// The answer is not what was expected.
-    Answer(FormatError),
+    InvalidResponse(FormatError),
     /// The answer is of an era that is over.
-    Era(StoreEra),
+    PastEra(StoreEra),
     /// An era began between the pages of a read.
-    EraBegan,
+    EraChanged,
 }
 
 impl std::fmt::Display for StoreError {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             StoreError::Call(error) => write!(formatter, "{error}"),
-            StoreError::Answer(error) => write!(formatter, "{error}"),
-            StoreError::Era(era) => write!(formatter, "the answer is of era {era}, which is over"),
-            StoreError::EraBegan => write!(formatter, "an era began between two pages"),
+            StoreError::InvalidResponse(error) => write!(formatter, "{error}"),
+            StoreError::PastEra(era) => {
+                write!(formatter, "the answer is of era {era}, which is over")
+            }
+            StoreError::EraChanged => write!(formatter, "an era began between two pages"),
         }
     }
 }
 
 impl From<FormatError> for StoreError {
     fn from(error: FormatError) -> StoreError {
-        StoreError::Answer(error)
+        StoreError::InvalidResponse(error)
     }
 }
 
 impl From<PastEra> for StoreError {
     fn from(error: PastEra) -> StoreError {
-        StoreError::Era(error.0)
+        StoreError::PastEra(error.0)
     }
 }
 
 /// What the store answered, and the era that it is of.
 #[derive(Clone, Copy, Debug)]
-pub struct InEra<Content> {
+pub struct StoreResponse<Content> {
     /// The era.
     pub era: StoreEra,
     /// What it answered.
@@ -110,7 +112,7 @@
         kind: TrafficKind,
         call: &Call,
         within: Duration,
-    ) -> Result<InEra<Answer>, StoreError> {
+    ) -> Result<StoreResponse<Response>, StoreError> {
         let newest_then = self.eras.newest();
         let answer = self.client.call(call, within).await;
         let bytes = answer.as_ref().map_or(0, |answer| answer.body.len());
@@ -118,16 +120,20 @@
         let content = answer.map_err(StoreError::Call)?;
         let number = self.dialect.store_era(&content);
         let era = self.eras.note_answer(kind.name(), number, newest_then)?;
-        Ok(InEra { era, content })
+        Ok(StoreResponse { era, content })
     }
 
     /// Reads all items under a prefix.
     pub async fn read(&self, prefix: &str) -> Result<Mirror, StoreError> {
-        self.read_within(prefix, CALL_TIMEOUT).await
+        self.read_with_timeout(prefix, CALL_TIMEOUT).await
     }
 
     /// The same with a time for each page.
-    pub async fn read_within(&self, prefix: &str, page: Duration) -> Result<Mirror, StoreError> {
+    pub async fn read_with_timeout(
+        &self,
+        prefix: &str,
+        page: Duration,
+    ) -> Result<Mirror, StoreError> {
         let mut read = PagedRead::default();
         while self.read_page(prefix, &mut read, page).await? {}
         Ok(read.finish())
@@ -145,9 +151,9 @@
         let call = self.dialect.read_range(prefix, after);
         let answer = self.call(TrafficKind::StoreRead, &call, within).await?;
         let told = self.dialect.parse_range(&answer.content)?;
-        let at = StorePosition { era: answer.era, revision: told.at };
+        let at = StorePosition { era: answer.era, revision: told.revision };
         if read.at.get_or_insert(at).era != answer.era {
-            return Err(StoreError::EraBegan);
+            return Err(StoreError::EraChanged);
         }
         let more = told.more && !told.items.is_empty();
         read.items.extend(told.items);
@@ -163,32 +169,32 @@
         after: StorePosition,
         wait: Duration,
         slack: Duration,
-    ) -> Result<Watched, StoreError> {
+    ) -> Result<WatchResult, StoreError> {
         let call = self.dialect.watch(prefix, after.revision, wait);
         let answer = self.call(TrafficKind::StoreWatch, &call, wait + slack).await?;
         let watched = self.dialect.parse_watch(&answer.content)?;
-        Ok(if answer.era == after.era { watched } else { Watched::Forgotten })
+        Ok(if answer.era == after.era { watched } else { WatchResult::Compacted })
     }
 
     /// Uses none of the connections that rest: what was sent on another one has
     /// no answer, and they may have gone silent with it.
-    pub fn distrust_connections(&self) {
-        self.client.drop_idle();
+    pub fn close_idle_connections(&self) {
+        self.client.close_idle();
     }
 
     /// Writes under conditions.
-    pub async fn commit(&self, commit: &Commit) -> Result<InEra<Committed>, StoreError> {
+    pub async fn commit(&self, commit: &Commit) -> Result<StoreResponse<CommitResult>, StoreError> {
         let call = self.dialect.commit(commit);
         let answer = self.call(TrafficKind::StoreCommit, &call, CALL_TIMEOUT).await?;
         let content = self.dialect.parse_commit(&answer.content)?;
-        Ok(InEra { era: answer.era, content })
+        Ok(StoreResponse { era: answer.era, content })
     }
 
     /// Asks for a lease.
     pub async fn grant_lease(&self, lifetime: Duration) -> Result<StoreLease, StoreError> {
         let call = self.dialect.grant_lease(lifetime);
         let answer = self.call(TrafficKind::StoreLease, &call, CALL_TIMEOUT).await?;
-        let id = self.dialect.parse_lease(&answer.content)?;
+        let id = self.dialect.parse_lease_grant(&answer.content)?;
         Ok(StoreLease { id, era: answer.era })
     }
 
@@ -200,15 +206,15 @@
         }
         let call = self.dialect.renew_lease(lease.id);
         let answer = self.call(TrafficKind::StoreLease, &call, CALL_TIMEOUT).await?;
-        Ok(self.dialect.parse_renewal(&answer.content)? && answer.era == lease.era)
+        Ok(self.dialect.parse_lease_renewal(&answer.content)? && answer.era == lease.era)
     }
 
     /// Gives a lease back, unless its era is over.
-    pub async fn end_lease(&self, lease: StoreLease) -> Result<(), StoreError> {
+    pub async fn revoke_lease(&self, lease: StoreLease) -> Result<(), StoreError> {
         if lease.era < self.eras.newest() {
             return Ok(());
         }
-        let call = self.dialect.end_lease(lease.id);
+        let call = self.dialect.revoke_lease(lease.id);
         self.call(TrafficKind::StoreLease, &call, CALL_TIMEOUT).await.map(|_| ())
     }
 }
